--- a/coordination/adapterplan.cpp
+++ b/coordination/adapterplan.cpp
@@ -343,9 +343,9 @@
 
 void AdapterPlan::Private::serveWants(Time now, std::vector<PlanAction> &actions)
 {
-    std::vector<AdapterWant> wants = demand.wants();
-    orderWants(wants, {}, loads.firstQuestion(false), now);
-    for (const AdapterWant &want : wants) {
+    std::vector<AdapterWant> pendingAdapters = demand.pendingAdapters();
+    orderWants(pendingAdapters, {}, loads.firstQuestion(false), now);
+    for (const AdapterWant &want : pendingAdapters) {
         bool isBeingSeenTo = false;
         bool isReady = false;
         for (const auto &[id, engine] : engines) {
@@ -358,7 +358,7 @@
         if (isBeingSeenTo) {
             continue;
         }
-        if (isReady && !want.isCrowded) {
+        if (isReady && !want.hasOverloadedCopies) {
             verify(want.adapter, now);
         } else {
             place(want, isReady, now, actions);
@@ -560,9 +560,9 @@
     d->demand.onUses(node, uses, now);
 }
 
-void AdapterPlan::onWants(const NodeId &node, const std::vector<AdapterUse> &wants, Time now)
+void AdapterPlan::onPendingAdapters(const NodeId &node, const std::vector<AdapterUse> &pendingAdapters, Time now)
 {
-    d->demand.onWants(node, wants, now);
+    d->demand.onPendingAdapters(node, pendingAdapters, now);
 }
 
 // The engine has nothing of what it was ordered to load.
@@ -712,7 +712,7 @@
 
 Time AdapterPlan::nextLook(Time now) const
 {
-    Time next = now + (d->demand.wants().empty() ? d->limits.lookUnasked : d->limits.lookWanted);
+    Time next = now + (d->demand.pendingAdapters().empty() ? d->limits.lookUnasked : d->limits.lookWanted);
     for (const auto &[id, engine] : d->engines) {
         for (const auto &[adapter, copy] : engine.copies) {
             if (engine.planned.isOwn && !copy.isAsked && copy.state != CopyState::Ready) {
--- a/coordination/adapterplan.h
+++ b/coordination/adapterplan.h
@@ -129,7 +129,7 @@
     /** What @p node runs and waits for; replaces what it said before. */
     void onUses(const NodeId &node, const std::vector<AdapterUse> &uses, Time now);
     /** What @p node waits for now; what it runs stays as it said before. */
-    void onWants(const NodeId &node, const std::vector<AdapterUse> &wants, Time now);
+    void onPendingAdapters(const NodeId &node, const std::vector<AdapterUse> &pendingAdapters, Time now);
     void onOrderAnswer(const EngineOrder &order, OrderAnswer answer, Time now);
     /** @p askedAt: when the report was asked for. */
     void onReport(const UpstreamId &engine, const EngineReport &report, Time askedAt);
--- a/coordination/fleetdemand.cpp
+++ b/coordination/fleetdemand.cpp
@@ -33,11 +33,11 @@
     }
 }
 
-void FleetDemand::onWants(const NodeId &node, const std::vector<AdapterUse> &wants, Time now)
+void FleetDemand::onPendingAdapters(const NodeId &node, const std::vector<AdapterUse> &pendingAdapters, Time now)
 {
     NodeUses &known = m_nodes[node];
-    std::erase_if(known.uses, [](const AdapterUse &use) { return use.engine.isEmpty() && !use.isCrowded; });
-    known.uses.insert(known.uses.end(), wants.begin(), wants.end());
+    std::erase_if(known.uses, [](const AdapterUse &use) { return use.engine.isEmpty() && !use.hasOverloadedCopies; });
+    known.uses.insert(known.uses.end(), pendingAdapters.begin(), pendingAdapters.end());
     known.heardAt = now;
     m_isChanged = true;
 }
@@ -82,12 +82,12 @@
                 continue;
             }
             // One node that finds no copy at all outweighs others that find the copies crowded.
-            const auto [at, isNew] = wanted.try_emplace(adapter, AdapterWant { adapter, use.isCrowded, now, 0, Time() });
+            const auto [at, isNew] = wanted.try_emplace(adapter, AdapterWant { adapter, use.hasOverloadedCopies, now, 0, Time() });
             AdapterWant &want = at->second;
-            want.isCrowded = want.isCrowded && use.isCrowded;
+            want.hasOverloadedCopies = want.hasOverloadedCopies && use.hasOverloadedCopies;
             want.waiting += use.waiting;
             if (use.waiting > 0) {
-                want.inTimeUntil = std::max(want.inTimeUntil, known.heardAt + use.inTimeFor);
+                want.inTimeUntil = std::max(want.inTimeUntil, known.heardAt + use.latencySlack);
             }
         }
     }
@@ -104,7 +104,7 @@
     return m_used.contains(std::pair(engine, adapter));
 }
 
-const std::vector<AdapterWant> &FleetDemand::wants() const
+const std::vector<AdapterWant> &FleetDemand::pendingAdapters() const
 {
     return m_wants;
 }
--- a/coordination/fleetdemand.h
+++ b/coordination/fleetdemand.h
@@ -19,7 +19,7 @@
 {
     AdapterRef adapter;
     /** Copies stand somewhere, but requests would wait too long there. */
-    bool isCrowded = false;
+    bool hasOverloadedCopies = false;
     /** Since when it is wanted without a break. */
     Time since;
     /** Requests that wait for it, and until when the freshest can begin within its latency objective. */
@@ -44,13 +44,13 @@
     /** What @p node runs and waits for; replaces what it said before. */
     void onUses(const NodeId &node, const std::vector<AdapterUse> &uses, Time now);
     /** What @p node waits for now; what it runs stays as it said before. */
-    void onWants(const NodeId &node, const std::vector<AdapterUse> &wants, Time now);
+    void onPendingAdapters(const NodeId &node, const std::vector<AdapterUse> &pendingAdapters, Time now);
     /** Brings the sums up to @p now; the questions below are about that moment. */
     void refresh(Time now);
 
     bool isUsed(const UpstreamId &engine, const AdapterRef &adapter) const;
     /** In no order: which is to be loaded first changes with time, and orderWants() says so each round. */
-    const std::vector<AdapterWant> &wants() const;
+    const std::vector<AdapterWant> &pendingAdapters() const;
     /** Requests for it, each counting half after the half life. */
     double popularity(const AdapterRef &adapter, Time now) const;
 
--- a/coordination/fleetmessage.cpp
+++ b/coordination/fleetmessage.cpp
@@ -8,14 +8,15 @@
 void addUse(std::vector<AdapterUse> &uses, const AdapterUse &use)
 {
     const auto at = std::find_if(uses.begin(), uses.end(), [&use](const AdapterUse &other) {
-        return other.adapter == use.adapter && other.engine == use.engine && other.model == use.model && other.isCrowded == use.isCrowded;
+        return other.adapter == use.adapter && other.engine == use.engine && other.model == use.model
+            && other.hasOverloadedCopies == use.hasOverloadedCopies;
     });
     if (at == uses.end()) {
         uses.push_back(use);
         return;
     }
     at->count += use.count;
-    at->inTimeFor = at->waiting == 0 ? use.inTimeFor : std::max(at->inTimeFor, use.inTimeFor);
+    at->latencySlack = at->waiting == 0 ? use.latencySlack : std::max(at->latencySlack, use.latencySlack);
     at->waiting += use.waiting;
 }
 
--- a/coordination/fleetmessage.h
+++ b/coordination/fleetmessage.h
@@ -33,10 +33,10 @@
     /** Requests that started or arrived since the last message. */
     std::uint32_t count = 0;
     /** The copies that there are would make requests wait too long. */
-    bool isCrowded = false;
+    bool hasOverloadedCopies = false;
     /** Requests that wait for it, and how long the freshest of them can still wait and begin within its latency objective. */
     std::uint32_t waiting = 0;
-    Duration inTimeFor;
+    Duration latencySlack;
 
     bool operator==(const AdapterUse &) const = default;
 };
--- a/coordination/wantorder.cpp
+++ b/coordination/wantorder.cpp
@@ -19,21 +19,21 @@
 
 } // namespace
 
-void orderWants(std::vector<AdapterWant> &wants, const WantOrderLimits &limits, Duration load, Time now)
+void orderWants(std::vector<AdapterWant> &pendingAdapters, const WantOrderLimits &limits, Duration load, Time now)
 {
     std::vector<std::pair<double, AdapterWant>> weighed;
-    weighed.reserve(wants.size());
-    for (AdapterWant &want : wants) {
+    weighed.reserve(pendingAdapters.size());
+    for (AdapterWant &want : pendingAdapters) {
         weighed.emplace_back(gainOf(want, limits, load, now), std::move(want));
     }
     // Among equals the older want: none waits for all others for good.
     std::sort(weighed.begin(), weighed.end(), [](const auto &a, const auto &b) {
-        return std::tie(a.second.isCrowded, b.first, a.second.since, a.second.adapter)
-            < std::tie(b.second.isCrowded, a.first, b.second.since, b.second.adapter);
+        return std::tie(a.second.hasOverloadedCopies, b.first, a.second.since, a.second.adapter)
+            < std::tie(b.second.hasOverloadedCopies, a.first, b.second.since, b.second.adapter);
     });
-    wants.clear();
+    pendingAdapters.clear();
     for (auto &[gain, want] : weighed) {
-        wants.push_back(std::move(want));
+        pendingAdapters.push_back(std::move(want));
     }
 }
 
--- a/coordination/wantorder.h
+++ b/coordination/wantorder.h
@@ -22,7 +22,7 @@
     double lateShare = 0.3;
 };
 
-/** Sorts @p wants, the one to be loaded first to the front. @p load: what a load is expected to take. */
-void orderWants(std::vector<AdapterWant> &wants, const WantOrderLimits &limits, Duration load, Time now);
+/** Sorts @p pendingAdapters, the one to be loaded first to the front. @p load: what a load is expected to take. */
+void orderWants(std::vector<AdapterWant> &pendingAdapters, const WantOrderLimits &limits, Duration load, Time now);
 
 } // namespace ApricotStep
--- a/main/entry/entrynode.cpp
+++ b/main/entry/entrynode.cpp
@@ -109,8 +109,10 @@
 
     FleetLink::Callbacks fleetCallbacks;
     fleetCallbacks.account = [this] { return OwnAccount { beliefs.book.own(), forwarder->uses() }; };
-    fleetCallbacks.wants = [this] { return forwarder->wants(); };
-    fleetCallbacks.onWants = [this](const NodeId &node, const std::vector<AdapterUse> &wants) { orders->onWants(node, wants); };
+    fleetCallbacks.pendingAdapters = [this] { return forwarder->pendingAdapters(); };
+    fleetCallbacks.onPendingAdapters = [this](const NodeId &node, const std::vector<AdapterUse> &pendingAdapters) {
+        orders->onPendingAdapters(node, pendingAdapters);
+    };
     fleetCallbacks.isReady = [this] { return isReady(); };
     fleetCallbacks.onUses = [this](const NodeId &node, const std::vector<AdapterUse> &uses) { orders->onUses(node, uses); };
     fleetCallbacks.storeSight = [this] { return StoreSight { store->revision(), store->isReading() }; };
@@ -133,7 +135,7 @@
     forwarding.retryWindow = settings.retryWindow;
     forwarding.adapterVersionBound = settings.adapterVersionBound;
     ForwarderCallbacks callbacks;
-    callbacks.onWants = [this] {
+    callbacks.onPendingAdapters = [this] {
         fleet->tellWants();
         orders->decideSoon();
     };
--- a/main/entry/fleetlink.cpp
+++ b/main/entry/fleetlink.cpp
@@ -251,7 +251,7 @@
     readClock();
     areWantsDue = false;
     FleetMessage message = base();
-    message.uses = callbacks.wants();
+    message.uses = callbacks.pendingAdapters();
     message.interval = scopeLimits.nearInterval; // Holders are told of loads as often, wherever they are.
     if (message.uses.empty()) {
         return;
@@ -442,7 +442,7 @@
         beliefs.book.onPeer(message.sender, *message.loads, now());
         callbacks.onUses(message.sender, message.uses);
     } else if (!message.uses.empty()) {
-        callbacks.onWants(message.sender, message.uses);
+        callbacks.onPendingAdapters(message.sender, message.uses);
     }
     if (message.store) {
         beliefs.adapterLoads.adopt(*message.store, now());
--- a/main/entry/fleetlink.h
+++ b/main/entry/fleetlink.h
@@ -74,13 +74,13 @@
         /** Asked before each message that speaks of load; what was counted since is counted anew. */
         std::function<OwnAccount()> account;
         /** Adapters that requests of this node wait for. */
-        std::function<std::vector<AdapterUse>()> wants;
+        std::function<std::vector<AdapterUse>()> pendingAdapters;
         /** Whether this node takes requests. */
         std::function<bool()> isReady;
         /** A peer said what it runs and waits for. */
         std::function<void(const NodeId &, const std::vector<AdapterUse> &)> onUses;
         /** A peer said only what it waits for. */
-        std::function<void(const NodeId &, const std::vector<AdapterUse> &)> onWants;
+        std::function<void(const NodeId &, const std::vector<AdapterUse> &)> onPendingAdapters;
         /** How far this node has read the store, and whether it reads it itself. */
         std::function<StoreSight()> storeSight;
         /** A peer has read further than it had. */
--- a/main/entry/orderrunner.cpp
+++ b/main/entry/orderrunner.cpp
@@ -355,11 +355,11 @@
     }
 }
 
-void OrderRunner::onWants(const NodeId &node, const std::vector<AdapterUse> &wants)
+void OrderRunner::onPendingAdapters(const NodeId &node, const std::vector<AdapterUse> &pendingAdapters)
 {
     for (const auto &shard : m_shards) {
         if (shard->plan != nullptr) {
-            shard->plan->onWants(node, wants, shard->now());
+            shard->plan->onPendingAdapters(node, pendingAdapters, shard->now());
             shard->decideSoon();
         }
     }
--- a/main/entry/orderrunner.h
+++ b/main/entry/orderrunner.h
@@ -27,7 +27,7 @@
     /** A peer said what it runs and waits for. */
     void onUses(const NodeId &node, const std::vector<AdapterUse> &uses);
     /** A peer said only what it waits for. */
-    void onWants(const NodeId &node, const std::vector<AdapterUse> &wants);
+    void onPendingAdapters(const NodeId &node, const std::vector<AdapterUse> &pendingAdapters);
     /** Something changed that the plan depends on. */
     void decideSoon();
 
--- a/main/entry/requestforwarder.cpp
+++ b/main/entry/requestforwarder.cpp
@@ -213,7 +213,7 @@
     return result;
 }
 
-std::vector<AdapterUse> RequestForwarder::wants() const
+std::vector<AdapterUse> RequestForwarder::pendingAdapters() const
 {
     std::vector<AdapterUse> result;
     for (const auto &[number, job] : d->jobs) {
--- a/main/entry/requestforwarder.h
+++ b/main/entry/requestforwarder.h
@@ -31,7 +31,7 @@
 struct ForwarderCallbacks
 {
     /** Requests wait for adapters that stand nowhere, or where they would wait too long. */
-    std::function<void()> onWants;
+    std::function<void()> onPendingAdapters;
     /** Nodes that share the retries, this one included; at least 1. */
     std::function<int()> nodeCount;
     /** The node leaves: answers end their connections. */
@@ -56,7 +56,7 @@
     /** Adapters that requests run on and wait for; arrivals are counted since the last call. */
     std::vector<AdapterUse> uses();
     /** Only what they wait for; counts nothing. */
-    std::vector<AdapterUse> wants() const;
+    std::vector<AdapterUse> pendingAdapters() const;
     /** Requests in progress. */
     int activeCount() const;
 
--- a/main/entry/requestjob.cpp
+++ b/main/entry/requestjob.cpp
@@ -162,7 +162,7 @@
 {
     AdapterUse use { adapter().model, adapter().adapter };
     use.waiting = 1;
-    use.inTimeFor = m_arrivedAt + m_route.latencyObjective - now();
+    use.latencySlack = m_arrivedAt + m_route.latencyObjective - now();
     return use;
 }
 
@@ -271,7 +271,7 @@
     }
     // Engines that refused before may take it now.
     m_tried.clear();
-    m_context.callbacks().onWants();
+    m_context.callbacks().onPendingAdapters();
     m_context.loop().cancel(m_waitTimer);
     m_waitTimer = m_context.loop().after(LookAgain, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
--- a/protocol/fleetcodec.cpp
+++ b/protocol/fleetcodec.cpp
@@ -141,9 +141,9 @@
         uses[i].setAdapter(message.uses[i].adapter.value());
         uses[i].setEngine(message.uses[i].engine.value());
         uses[i].setCount(message.uses[i].count);
-        uses[i].setIsCrowded(message.uses[i].isCrowded);
+        uses[i].setIsCrowded(message.uses[i].hasOverloadedCopies);
         uses[i].setWaiting(message.uses[i].waiting);
-        uses[i].setInTimeForMs(static_cast<std::int32_t>(message.uses[i].inTimeFor.milliseconds()));
+        uses[i].setInTimeForMs(static_cast<std::int32_t>(message.uses[i].latencySlack.milliseconds()));
     }
     auto rows = wire.initRows(static_cast<unsigned int>(message.rows.size()));
     for (unsigned int i = 0; i < rows.size(); ++i) {
--- a/tests/coordination/testadapterplan.cpp
+++ b/tests/coordination/testadapterplan.cpp
@@ -37,9 +37,9 @@
     {
         m_uses.push_back(AdapterUse { BaseModelId("m"), AdapterId(adapter), UpstreamId(engine), count, false });
     }
-    void want(const std::string &adapter, bool isCrowded = false)
+    void want(const std::string &adapter, bool hasOverloadedCopies = false)
     {
-        m_uses.push_back(AdapterUse { BaseModelId("m"), AdapterId(adapter), UpstreamId(), 1, isCrowded });
+        m_uses.push_back(AdapterUse { BaseModelId("m"), AdapterId(adapter), UpstreamId(), 1, hasOverloadedCopies });
     }
     void clearUses()
     {
--- a/tests/coordination/testwantorder.cpp
+++ b/tests/coordination/testwantorder.cpp
@@ -11,16 +11,16 @@
 constexpr Time Now { 10'000 };
 constexpr Duration Load { 250 };
 
-AdapterWant want(const std::string &name, Duration age, std::uint32_t waiting, Duration inTimeFor)
+AdapterWant want(const std::string &name, Duration age, std::uint32_t waiting, Duration latencySlack)
 {
-    return AdapterWant { AdapterRef { BaseModelId("m"), AdapterId(name) }, false, Now - age, waiting, Now + inTimeFor };
+    return AdapterWant { AdapterRef { BaseModelId("m"), AdapterId(name) }, false, Now - age, waiting, Now + latencySlack };
 }
 
-std::string order(std::vector<AdapterWant> wants)
+std::string order(std::vector<AdapterWant> pendingAdapters)
 {
-    orderWants(wants, {}, Load, Now);
+    orderWants(pendingAdapters, {}, Load, Now);
     std::string names;
-    for (const AdapterWant &sorted : wants) {
+    for (const AdapterWant &sorted : pendingAdapters) {
         names += sorted.adapter.adapter.value();
     }
     return names;
--- a/tests/coordination/weightstorebench.h
+++ b/tests/coordination/weightstorebench.h
@@ -294,7 +294,7 @@
                 use.engine = m_records[static_cast<std::size_t>(request.engine)].id;
             } else {
                 use.waiting = 1;
-                use.inTimeFor = request.arrivedAt + Objective - m_now;
+                use.latencySlack = request.arrivedAt + Objective - m_now;
             }
             addUse(result, use);
         }
--- a/tests/main/testrequestforwarder.cpp
+++ b/tests/main/testrequestforwarder.cpp
@@ -45,7 +45,7 @@
     Bench()
     {
         ForwarderCallbacks callbacks;
-        callbacks.onWants = [] {};
+        callbacks.onPendingAdapters = [] {};
         callbacks.nodeCount = [] { return 1; };
         callbacks.isLeaving = [this] { return isLeaving; };
         callbacks.mayTake = [](Duration) { return true; };
