--- a/coordination/adapterloads.cpp
+++ b/coordination/adapterloads.cpp
@@ -72,22 +72,23 @@
     m_chances.fill(1);
 }
 
-void AdapterLoads::onRow(const EngineRow &row, Time now)
+void AdapterLoads::onResidency(const EngineResidency &residency, Time now)
 {
-    Engine &engine = m_engines[row.engine];
-    if (engine.startedAt != row.startedAt) {
+    Engine &engine = m_engines[residency.engine];
+    if (engine.startedAt != residency.startedAt) {
         abandonLoads(engine);
         engine = Engine {};
-        engine.startedAt = row.startedAt;
-        engine.isKnownFromStart = std::none_of(row.copies.begin(), row.copies.end(), [](const AdapterCopy &copy) { return copy.isReady; });
+        engine.startedAt = residency.startedAt;
+        engine.isKnownFromStart =
+            std::none_of(residency.copies.begin(), residency.copies.end(), [](const AdapterCopy &copy) { return copy.isReady; });
     }
     std::vector<std::uint64_t> listed;
     std::vector<std::uint64_t> ready;
-    for (const AdapterCopy &copy : row.copies) {
+    for (const AdapterCopy &copy : residency.copies) {
         const std::uint64_t key = stableHash(copy.model.value(), copy.adapter.value());
         listed.push_back(key);
         const bool wasReady = contains(engine.ready, key);
-        noteCopy(engine, key, copy.isReady, wasReady, row.fence, now);
+        noteCopy(engine, key, copy.isReady, wasReady, residency.fence, now);
         // A copy that was in place and is asked about again has not left.
         if (copy.isReady || wasReady) {
             ready.push_back(key);
@@ -128,7 +129,7 @@
     }
 }
 
-void AdapterLoads::forget(const UpstreamId &id)
+void AdapterLoads::remove(const UpstreamId &id)
 {
     const auto at = m_engines.find(id);
     if (at != m_engines.end()) {
--- a/coordination/adapterloads.h
+++ b/coordination/adapterloads.h
@@ -69,8 +69,8 @@
 public:
     explicit AdapterLoads(AdapterLoadsLimits limits = {});
 
-    /** @p row is news; rows of one engine come in their order. */
-    void onRow(const EngineRow &row, Time now);
+    /** @p residency is news; rows of one engine come in their order. */
+    void onResidency(const EngineResidency &residency, Time now);
     /** Rows of other holders may be lost and then tell a time that is far off, so only loads that this node ordered set the times. */
     void onOwnLoad(const OwnLoad &load, Time now);
     /** What another node has seen; taken only while this one has seen nothing itself. */
@@ -78,7 +78,7 @@
     /** For the others; empty while no fetch has been seen. */
     std::optional<StoreView> view() const;
     /** The engine is gone. */
-    void forget(const UpstreamId &engine);
+    void remove(const UpstreamId &engine);
 
     /** How many fetches may be under way from the store, over all engines. */
     int fetchesAtOnce() const;
--- a/coordination/adapterplan.cpp
+++ b/coordination/adapterplan.cpp
@@ -100,8 +100,8 @@
     }
 
     bool isOurTurn(const AdapterWant &want, Time now) const;
-    void takeOwn(Engine &engine, const PlannedEngine &planned, const EngineRows &rows, Time now) const;
-    void takeForeign(Engine &engine, const PlannedEngine &planned, const EngineRows &rows, Time now) const;
+    void takeOwn(Engine &engine, const PlannedEngine &planned, const ResidencyTable &residencies, Time now) const;
+    void takeForeign(Engine &engine, const PlannedEngine &planned, const ResidencyTable &residencies, Time now) const;
     double inFetches(double count) const;
     void beginRound(Time now);
     static bool isUnderWay(const Copy &copy);
@@ -454,13 +454,13 @@
             continue;
         }
         engine.isChanged = false;
-        EngineRow row { id, engine.startedAt, fence, ++rowsTold, {} };
+        EngineResidency residency { id, engine.startedAt, fence, ++rowsTold, {} };
         for (const auto &[adapter, copy] : engine.copies) {
             if (copy.state != CopyState::Dropping) {
-                row.copies.push_back(AdapterCopy { adapter.model, adapter.adapter, copy.version, isInPlace(copy) });
+                residency.copies.push_back(AdapterCopy { adapter.model, adapter.adapter, copy.version, isInPlace(copy) });
             }
         }
-        actions.emplace_back(AnnounceRow { std::move(row) });
+        actions.emplace_back(AnnounceResidency { std::move(residency) });
     }
 }
 
@@ -471,7 +471,7 @@
 
 AdapterPlan::~AdapterPlan() = default;
 
-void AdapterPlan::setEngines(const std::vector<PlannedEngine> &engines, const EngineRows &rows, Time now)
+void AdapterPlan::setEngines(const std::vector<PlannedEngine> &engines, const ResidencyTable &residencies, Time now)
 {
     std::map<UpstreamId, const PlannedEngine *> present;
     for (const PlannedEngine &planned : engines) {
@@ -481,9 +481,9 @@
     for (const auto &[id, planned] : present) {
         Engine &engine = d->engines[id];
         if (planned->isOwn) {
-            d->takeOwn(engine, *planned, rows, now);
+            d->takeOwn(engine, *planned, residencies, now);
         } else {
-            d->takeForeign(engine, *planned, rows, now);
+            d->takeForeign(engine, *planned, residencies, now);
         }
         if (engine.idHash == 0) {
             engine.idHash = stableHash(id.value());
@@ -496,7 +496,7 @@
     }
 }
 
-void AdapterPlan::Private::takeOwn(Engine &engine, const PlannedEngine &planned, const EngineRows &rows, Time now) const
+void AdapterPlan::Private::takeOwn(Engine &engine, const PlannedEngine &planned, const ResidencyTable &residencies, Time now) const
 {
     if (!engine.id.isEmpty() && engine.planned.isOwn && engine.startedAt == planned.record->startedAt) {
         return;
@@ -509,8 +509,8 @@
             engine.copies[AdapterRef { held.id, key.id }] = Copy { key.version, CopyState::Ready, now, Time::never(), now, false };
         }
     }
-    if (const EngineRow *row = rows.row(*planned.record)) {
-        for (const AdapterCopy &copy : row->copies) {
+    if (const EngineResidency *residency = residencies.residency(*planned.record)) {
+        for (const AdapterCopy &copy : residency->copies) {
             // A load under way is asked about at once; the engine knows.
             const CopyState state = copy.isReady ? CopyState::Ready : CopyState::Loading;
             engine.copies[AdapterRef { copy.model, copy.adapter }] = Copy { copy.version, state, now, now, now, false };
@@ -518,23 +518,24 @@
     }
 }
 
-void AdapterPlan::Private::takeForeign(Engine &engine, const PlannedEngine &planned, const EngineRows &rows, Time now) const
+void AdapterPlan::Private::takeForeign(Engine &engine, const PlannedEngine &planned, const ResidencyTable &residencies, Time now) const
 {
     engine.isReported = true;
     engine.models.clear();
     for (const HeldModel &held : planned.record->models) {
         engine.models.push_back(held.id);
     }
-    const EngineRow *row = rows.row(*planned.record);
-    const auto version = row != nullptr ? std::pair(row->fence, row->sequence) : std::pair(FencingToken(), std::uint64_t(0));
+    const EngineResidency *residency = residencies.residency(*planned.record);
+    const auto version =
+        residency != nullptr ? std::pair(residency->fence, residency->sequence) : std::pair(FencingToken(), std::uint64_t(0));
     if (version == engine.rowTaken && engine.startedAt == planned.record->startedAt) {
         return;
     }
     engine.rowTaken = version;
     const std::map<AdapterRef, Copy> former = std::move(engine.copies);
     engine.copies.clear();
-    if (row != nullptr) {
-        for (const AdapterCopy &copy : row->copies) {
+    if (residency != nullptr) {
+        for (const AdapterCopy &copy : residency->copies) {
             const AdapterRef adapter { copy.model, copy.adapter };
             const auto known = former.find(adapter);
             const Time since = known != former.end() ? known->second.since : now;
--- a/coordination/adapterplan.h
+++ b/coordination/adapterplan.h
@@ -79,11 +79,11 @@
     UpstreamId engine;
 };
 /** Tell all nodes. */
-struct AnnounceRow
+struct AnnounceResidency
 {
-    EngineRow row;
+    EngineResidency residency;
 };
-using PlanAction = std::variant<GiveOrder, AskEngineReport, AnnounceRow>;
+using PlanAction = std::variant<GiveOrder, AskEngineReport, AnnounceResidency>;
 
 /** Which wants this plan meets when no plan has met them. */
 struct PlanTurn
@@ -120,8 +120,8 @@
     AdapterPlan(AdapterPlanLimits limits, FencingToken fence, AdapterLoads &loads);
     ~AdapterPlan();
 
-    /** The engines that there are now. @p rows tells what stands at those that are new to this plan. */
-    void setEngines(const std::vector<PlannedEngine> &engines, const EngineRows &rows, Time now);
+    /** The engines that there are now. @p residencies tells what stands at those that are new to this plan. */
+    void setEngines(const std::vector<PlannedEngine> &engines, const ResidencyTable &residencies, Time now);
     /** How wants that nobody has met are dealt out among the plans of all shards. */
     void setTurn(PlanTurn turn);
     /** @p version of @p adapter is the newest. */
--- a/coordination/enginerows.cpp
+++ b/coordination/enginerows.cpp
@@ -10,47 +10,47 @@
 {
 
 // Tokens order the rows of one start only: an engine that starts anew in another shard gets a holder whose token may be lower.
-auto order(const EngineRow &row)
+auto order(const EngineResidency &residency)
 {
-    return std::tuple(row.startedAt, row.fence, row.sequence);
+    return std::tuple(residency.startedAt, residency.fence, residency.sequence);
 }
 
 } // namespace
 
-bool EngineRows::put(const EngineRow &row)
+bool ResidencyTable::put(const EngineResidency &residency)
 {
-    const auto at = m_rows.find(row.engine);
-    if (at != m_rows.end() && order(at->second) >= order(row)) {
+    const auto at = m_rows.find(residency.engine);
+    if (at != m_rows.end() && order(at->second) >= order(residency)) {
         return false;
     }
-    m_rows[row.engine] = row;
-    absl::erase_if(m_missing, [&row](const auto &entry) { return entry.first.first == row.engine; });
+    m_rows[residency.engine] = residency;
+    absl::erase_if(m_missing, [&residency](const auto &entry) { return entry.first.first == residency.engine; });
     return true;
 }
 
-void EngineRows::markMissing(const UpstreamId &engine, const AdapterRef &adapter)
+void ResidencyTable::markMissing(const UpstreamId &engine, const AdapterRef &adapter)
 {
     m_missing[std::pair(engine, adapter)] = true;
 }
 
-void EngineRows::forget(const UpstreamId &engine)
+void ResidencyTable::remove(const UpstreamId &engine)
 {
     m_rows.erase(engine);
     absl::erase_if(m_missing, [&engine](const auto &entry) { return entry.first.first == engine; });
 }
 
-const EngineRow *EngineRows::row(const UpstreamRecord &record) const
+const EngineResidency *ResidencyTable::residency(const UpstreamRecord &record) const
 {
     const auto at = m_rows.find(record.id);
     return at != m_rows.end() && at->second.startedAt == record.startedAt ? &at->second : nullptr;
 }
 
-std::optional<AdapterCopy> EngineRows::copy(const UpstreamRecord &record, const AdapterRef &adapter) const
+std::optional<AdapterCopy> ResidencyTable::copy(const UpstreamRecord &record, const AdapterRef &adapter) const
 {
     if (m_missing.contains(std::pair(record.id, adapter))) {
         return std::nullopt;
     }
-    if (const EngineRow *known = row(record)) {
+    if (const EngineResidency *known = residency(record)) {
         for (const AdapterCopy &copy : known->copies) {
             if (copy.model == adapter.model && copy.adapter == adapter.adapter) {
                 return copy;
--- a/coordination/enginerows.h
+++ b/coordination/enginerows.h
@@ -34,22 +34,22 @@
  * A row of an earlier holder or an earlier count never replaces a later one: datagrams overtake each other, and a copy that was dropped
  * meanwhile would get requests again.
  */
-class EngineRows
+class ResidencyTable
 {
 public:
-    /** Whether @p row was news. */
-    bool put(const EngineRow &row);
+    /** Whether @p residency was news. */
+    bool put(const EngineResidency &residency);
     /** The engine refused the adapter: the row is wrong until a later one comes. */
     void markMissing(const UpstreamId &engine, const AdapterRef &adapter);
-    void forget(const UpstreamId &engine);
+    void remove(const UpstreamId &engine);
 
     /** The copy of @p adapter at the engine of @p record, if it has one in place or on its way. */
     std::optional<AdapterCopy> copy(const UpstreamRecord &record, const AdapterRef &adapter) const;
     /** Null when no holder has spoken of this start of the engine. */
-    const EngineRow *row(const UpstreamRecord &record) const;
+    const EngineResidency *residency(const UpstreamRecord &record) const;
 
 private:
-    absl::btree_map<UpstreamId, EngineRow> m_rows;
+    absl::btree_map<UpstreamId, EngineResidency> m_rows;
     absl::btree_map<std::pair<UpstreamId, AdapterRef>, bool> m_missing;
 };
 
--- a/coordination/fleetmessage.h
+++ b/coordination/fleetmessage.h
@@ -58,7 +58,7 @@
 };
 
 /** The adapters of one engine, as its holder knows them. A later row replaces an earlier one. */
-struct EngineRow
+struct EngineResidency
 {
     UpstreamId engine;
     /** The start of the engine that this speaks of. */
@@ -68,7 +68,7 @@
     std::uint64_t sequence = 0;
     std::vector<AdapterCopy> copies;
 
-    bool operator==(const EngineRow &) const = default;
+    bool operator==(const EngineResidency &) const = default;
 };
 
 /** What a node has seen of the weight store; for nodes that have just started. */
@@ -164,7 +164,7 @@
     /** Unset in messages that do not speak of load. */
     std::optional<std::vector<UpstreamLoad>> loads;
     std::vector<AdapterUse> uses;
-    std::vector<EngineRow> rows;
+    std::vector<EngineResidency> residencies;
     /** Unset where the sender has seen no fetch, or does not say. */
     std::optional<StoreView> store;
 };
--- a/main/entry/beliefs.h
+++ b/main/entry/beliefs.h
@@ -29,7 +29,7 @@
     /** Null until a configuration is known. */
     std::shared_ptr<const RouteTable> routes;
     UpstreamDirectory upstreams { UpstreamDirectoryLimits {} };
-    EngineRows rows;
+    ResidencyTable residencies;
     AdapterLoads adapterLoads;
     std::map<AdapterRef, KnownVersion> versions;
     UpstreamBook book;
@@ -37,19 +37,19 @@
     ZoneId engineScope;
     Outliers outliers { OutlierLimits {} };
 
-    /** Whether @p row was news. */
-    bool putRow(const EngineRow &row, Time now)
+    /** Whether @p residency was news. */
+    bool putRow(const EngineResidency &residency, Time now)
     {
-        const bool isNews = rows.put(row);
+        const bool isNews = residencies.put(residency);
         if (isNews) {
-            adapterLoads.onRow(row, now);
+            adapterLoads.onResidency(residency, now);
         }
         return isNews;
     }
     void forgetRow(const UpstreamId &engine)
     {
-        rows.forget(engine);
-        adapterLoads.forget(engine);
+        residencies.remove(engine);
+        adapterLoads.remove(engine);
     }
     const EngineSpec *engineSpec(const ServiceName &service) const
     {
--- a/main/entry/fleetlink.cpp
+++ b/main/entry/fleetlink.cpp
@@ -52,7 +52,7 @@
     std::map<std::string, Time> contacts;
     std::mt19937_64 random { std::random_device {}() };
     /** The rows that this node announced, for repeating. */
-    std::map<UpstreamId, EngineRow> ownRows;
+    std::map<UpstreamId, EngineResidency> ownRows;
     const Time startedAt;
     Time moment;
     Time rowsToldAt;
@@ -120,7 +120,7 @@
     bool usesEnginesOf(const Peer &peer, const ZoneId &zone) const;
     void updateScope();
     void heartbeat();
-    void tellRows(const std::vector<EngineRow> &rows);
+    void tellRows(const std::vector<EngineResidency> &residencies);
     void onDatagram(std::string_view bytes);
     void onMessage(const FleetMessage &message);
     void notePeer(const FleetMessage &message);
@@ -308,23 +308,23 @@
     sendLoad(message);
     if (isAnyHolder() && now() - rowsToldAt >= RowsInterval) {
         rowsToldAt = now();
-        std::vector<EngineRow> rows;
-        for (const auto &[id, row] : ownRows) {
-            rows.push_back(row);
+        std::vector<EngineResidency> residencies;
+        for (const auto &[id, residency] : ownRows) {
+            residencies.push_back(residency);
         }
-        tellRows(rows);
+        tellRows(residencies);
     }
     noteHolder();
 }
 
 // Rows of engines of one zone go to the nodes that use them.
-void FleetLink::Private::tellRows(const std::vector<EngineRow> &rows)
+void FleetLink::Private::tellRows(const std::vector<EngineResidency> &residencies)
 {
-    std::map<ZoneId, std::vector<EngineRow>> byZone;
-    for (const EngineRow &row : rows) {
-        const UpstreamRecord *record = beliefs.upstreams.usable(row.engine);
+    std::map<ZoneId, std::vector<EngineResidency>> byZone;
+    for (const EngineResidency &residency : residencies) {
+        const UpstreamRecord *record = beliefs.upstreams.usable(residency.engine);
         if (record != nullptr) {
-            byZone[shards.zoneOf(shards.shardOf(*record))].push_back(row);
+            byZone[shards.zoneOf(shards.shardOf(*record))].push_back(residency);
         }
     }
     for (const auto &[zone, ofZone] : byZone) {
@@ -332,7 +332,7 @@
             FleetMessage message = base();
             for (std::size_t copies = 0; next < ofZone.size() && copies < CopiesInDatagram; ++next) {
                 copies += ofZone[next].copies.size();
-                message.rows.push_back(ofZone[next]);
+                message.residencies.push_back(ofZone[next]);
             }
             const std::string bytes = encodeFleetMessage(message);
             for (const auto &[id, peer] : peers) {
@@ -448,8 +448,8 @@
         beliefs.adapterLoads.adopt(*message.store, now());
     }
     bool isNews = false;
-    for (const EngineRow &row : message.rows) {
-        isNews = beliefs.putRow(row, now()) || isNews;
+    for (const EngineResidency &residency : message.residencies) {
+        isNews = beliefs.putRow(residency, now()) || isNews;
     }
     if (isNews) {
         callbacks.onRows();
@@ -542,13 +542,13 @@
     });
 }
 
-void FleetLink::announce(const std::vector<EngineRow> &rows)
+void FleetLink::announce(const std::vector<EngineResidency> &residencies)
 {
-    for (const EngineRow &row : rows) {
-        d->ownRows[row.engine] = row;
-        d->beliefs.putRow(row, d->now());
+    for (const EngineResidency &residency : residencies) {
+        d->ownRows[residency.engine] = residency;
+        d->beliefs.putRow(residency, d->now());
     }
-    d->tellRows(rows);
+    d->tellRows(residencies);
     d->callbacks.onRows();
 }
 
--- a/main/entry/fleetlink.h
+++ b/main/entry/fleetlink.h
@@ -101,7 +101,7 @@
     /** Tells the nodes that give orders at once what this one waits for. */
     void tellWants();
     /** Tells all nodes that use these engines. */
-    void announce(const std::vector<EngineRow> &rows);
+    void announce(const std::vector<EngineResidency> &residencies);
 
     const ShardMap &shards() const;
     /** The lease of one of shards(). */
--- a/main/entry/orderrunner.cpp
+++ b/main/entry/orderrunner.cpp
@@ -95,7 +95,7 @@
     PlanTurn turn() const;
     void updateOrdered();
     std::vector<PlannedEngine> engines() const;
-    void carryOut(const PlanAction &action, std::vector<EngineRow> &rows);
+    void carryOut(const PlanAction &action, std::vector<EngineResidency> &residencies);
     void give(const EngineOrder &order);
     void onAnswer(const EngineOrder &order, FencingToken under, const CallResult &result, Time askedAt);
     void askReport(const UpstreamId &engine);
@@ -220,28 +220,28 @@
     }
     decidedAt = now();
     updateOrdered();
-    plan->setEngines(engines(), beliefs.rows, now());
+    plan->setEngines(engines(), beliefs.residencies, now());
     plan->setTurn(turn());
     for (const auto &[adapter, known] : beliefs.versions) {
         plan->setVersion(adapter, known.version);
     }
     plan->onUses(self, ownUses(), now());
     logStore();
-    std::vector<EngineRow> rows;
+    std::vector<EngineResidency> residencies;
     for (const PlanAction &action : plan->decide(now())) {
-        carryOut(action, rows);
+        carryOut(action, residencies);
     }
-    if (!rows.empty()) {
-        fleet.announce(rows);
+    if (!residencies.empty()) {
+        fleet.announce(residencies);
     }
 }
 
-void OrderRunner::Private::carryOut(const PlanAction &action, std::vector<EngineRow> &rows)
+void OrderRunner::Private::carryOut(const PlanAction &action, std::vector<EngineResidency> &residencies)
 {
     std::visit(Overloaded {
                    [this](const GiveOrder &give) { this->give(give.order); },
                    [this](const AskEngineReport &ask) { askReport(ask.engine); },
-                   [&rows](const AnnounceRow &announce) { rows.push_back(announce.row); },
+                   [&residencies](const AnnounceResidency &announce) { residencies.push_back(announce.residency); },
                },
         action);
 }
--- a/main/entry/requestjob.cpp
+++ b/main/entry/requestjob.cpp
@@ -177,7 +177,7 @@
     if (!needsAdapter()) {
         return record.models.empty() || record.holds(m_decoded.generation->model);
     }
-    const auto copy = m_context.beliefs().rows.copy(record, adapter());
+    const auto copy = m_context.beliefs().residencies.copy(record, adapter());
     if (!copy || !copy->isReady || !m_context.beliefs().outliers.isReachable(record.id, now())) {
         return false;
     }
@@ -299,7 +299,7 @@
     m_upstream = record;
     m_version = AdapterVersion();
     if (needsAdapter()) {
-        const auto copy = m_context.beliefs().rows.copy(record, adapter());
+        const auto copy = m_context.beliefs().residencies.copy(record, adapter());
         m_version = copy ? copy->version : AdapterVersion();
     }
     m_answer.reset();
@@ -528,7 +528,7 @@
     m_context.log().write(Step, "request", "not_run",
         { { "request", m_decoded.id }, { "upstream", m_upstream.id.value() }, { "status", std::int64_t(m_answer->status) } });
     if (m_answer->status == MisdirectedStatus && needsAdapter()) {
-        m_context.beliefs().rows.markMissing(m_upstream.id, adapter());
+        m_context.beliefs().residencies.markMissing(m_upstream.id, adapter());
     }
     m_tried.insert(m_upstream.id);
     tryNext();
--- a/protocol/fleetcodec.cpp
+++ b/protocol/fleetcodec.cpp
@@ -29,14 +29,14 @@
 
 using CopyGroup = std::tuple<BaseModelId, AdapterVersion, bool>;
 
-void encodeRow(const EngineRow &row, Wire::EngineRowWire::Builder wire)
+void encodeRow(const EngineResidency &residency, Wire::EngineRowWire::Builder wire)
 {
-    wire.setEngine(row.engine.value());
-    wire.setStartedAt(row.startedAt);
-    wire.setFence(row.fence.value());
-    wire.setSequence(row.sequence);
+    wire.setEngine(residency.engine.value());
+    wire.setStartedAt(residency.startedAt);
+    wire.setFence(residency.fence.value());
+    wire.setSequence(residency.sequence);
     std::map<CopyGroup, std::vector<const AdapterCopy *>> groups;
-    for (const AdapterCopy &copy : row.copies) {
+    for (const AdapterCopy &copy : residency.copies) {
         groups[CopyGroup { copy.model, copy.version, copy.isReady }].push_back(&copy);
     }
     auto copies = wire.initCopies(static_cast<unsigned int>(groups.size()));
@@ -53,21 +53,21 @@
     }
 }
 
-EngineRow decodeRow(Wire::EngineRowWire::Reader wire)
+EngineResidency decodeRow(Wire::EngineRowWire::Reader wire)
 {
-    EngineRow row;
-    row.engine = UpstreamId(textOf(wire.getEngine()));
-    row.startedAt = wire.getStartedAt();
-    row.fence = FencingToken(wire.getFence());
-    row.sequence = wire.getSequence();
+    EngineResidency residency;
+    residency.engine = UpstreamId(textOf(wire.getEngine()));
+    residency.startedAt = wire.getStartedAt();
+    residency.fence = FencingToken(wire.getFence());
+    residency.sequence = wire.getSequence();
     for (const auto group : wire.getCopies()) {
         const BaseModelId model(textOf(group.getModel()));
         const AdapterVersion version(textOf(group.getVersion()));
         for (const auto adapter : group.getAdapters()) {
-            row.copies.push_back(AdapterCopy { model, AdapterId(textOf(adapter)), version, group.getIsReady() });
+            residency.copies.push_back(AdapterCopy { model, AdapterId(textOf(adapter)), version, group.getIsReady() });
         }
     }
-    return row;
+    return residency;
 }
 
 void encodeLeases(const FleetMessage &message, Wire::FleetMessageWire::Builder wire)
@@ -145,9 +145,9 @@
         uses[i].setWaiting(message.uses[i].waiting);
         uses[i].setInTimeForMs(static_cast<std::int32_t>(message.uses[i].latencySlack.milliseconds()));
     }
-    auto rows = wire.initRows(static_cast<unsigned int>(message.rows.size()));
-    for (unsigned int i = 0; i < rows.size(); ++i) {
-        encodeRow(message.rows[i], rows[i]);
+    auto residencies = wire.initRows(static_cast<unsigned int>(message.residencies.size()));
+    for (unsigned int i = 0; i < residencies.size(); ++i) {
+        encodeRow(message.residencies[i], residencies[i]);
     }
 }
 
@@ -166,8 +166,8 @@
         message.uses.push_back(AdapterUse { BaseModelId(textOf(use.getModel())), AdapterId(textOf(use.getAdapter())),
             UpstreamId(textOf(use.getEngine())), use.getCount(), use.getIsCrowded(), use.getWaiting(), Duration(use.getInTimeForMs()) });
     }
-    for (const auto row : wire.getRows()) {
-        message.rows.push_back(decodeRow(row));
+    for (const auto residency : wire.getRows()) {
+        message.residencies.push_back(decodeRow(residency));
     }
 }
 
--- a/tests/coordination/testadapterplan.cpp
+++ b/tests/coordination/testadapterplan.cpp
@@ -144,9 +144,9 @@
                 m_plan.onOrderAnswer(give->order, carryOut(give->order), m_now);
             } else if (const auto *ask = std::get_if<AskEngineReport>(&action)) {
                 answerReport(ask->engine);
-            } else if (const auto *announce = std::get_if<AnnounceRow>(&action)) {
-                if (m_announced.put(announce->row)) {
-                    m_loadTimes.onRow(announce->row, m_now);
+            } else if (const auto *announce = std::get_if<AnnounceResidency>(&action)) {
+                if (m_announced.put(announce->residency)) {
+                    m_loadTimes.onResidency(announce->residency, m_now);
                 }
             }
         }
@@ -219,8 +219,8 @@
     std::vector<EngineState> m_engines;
     std::vector<Snapshot> m_history;
     std::vector<AdapterUse> m_uses;
-    EngineRows m_rows;
-    EngineRows m_announced;
+    ResidencyTable m_rows;
+    ResidencyTable m_announced;
     AdapterLoads m_loadTimes;
     AdapterPlan m_plan { AdapterPlanLimits {}, FencingToken(7), m_loadTimes };
     bool m_isUnloadWaiting = false;
--- a/tests/coordination/testupstreamdirectory.cpp
+++ b/tests/coordination/testupstreamdirectory.cpp
@@ -97,16 +97,16 @@
 {
     const AdapterRef adapter { BaseModelId("m"), AdapterId("a") };
     const AdapterCopy copy { adapter.model, adapter.adapter, AdapterVersion("1"), true };
-    EngineRows rows;
-    cr_assert(rows.put(EngineRow { UpstreamId("u"), 1, FencingToken(5), 9, { copy } }));
-    cr_assert_not(rows.put(EngineRow { UpstreamId("u"), 1, FencingToken(4), 20, {} }));
-    cr_assert_not(rows.put(EngineRow { UpstreamId("u"), 1, FencingToken(5), 8, {} }));
-    cr_assert(rows.copy(record("u"), adapter).has_value());
-    rows.markMissing(UpstreamId("u"), adapter);
-    cr_assert_not(rows.copy(record("u"), adapter).has_value());
-    rows.put(EngineRow { UpstreamId("u"), 1, FencingToken(5), 10, { copy } });
-    cr_assert(rows.copy(record("u"), adapter).has_value());
-    cr_assert_not(rows.copy(record("u", 2), adapter).has_value(), "a new start holds nothing of before");
+    ResidencyTable residencies;
+    cr_assert(residencies.put(EngineResidency { UpstreamId("u"), 1, FencingToken(5), 9, { copy } }));
+    cr_assert_not(residencies.put(EngineResidency { UpstreamId("u"), 1, FencingToken(4), 20, {} }));
+    cr_assert_not(residencies.put(EngineResidency { UpstreamId("u"), 1, FencingToken(5), 8, {} }));
+    cr_assert(residencies.copy(record("u"), adapter).has_value());
+    residencies.markMissing(UpstreamId("u"), adapter);
+    cr_assert_not(residencies.copy(record("u"), adapter).has_value());
+    residencies.put(EngineResidency { UpstreamId("u"), 1, FencingToken(5), 10, { copy } });
+    cr_assert(residencies.copy(record("u"), adapter).has_value());
+    cr_assert_not(residencies.copy(record("u", 2), adapter).has_value(), "a new start holds nothing of before");
 }
 
 // Guards against an engine that starts anew under another holder with a lower token, whose copies nobody would believe in.
@@ -114,11 +114,11 @@
 {
     const AdapterRef adapter { BaseModelId("m"), AdapterId("a") };
     const AdapterCopy copy { adapter.model, adapter.adapter, AdapterVersion("1"), true };
-    EngineRows rows;
-    rows.put(EngineRow { UpstreamId("u"), 1, FencingToken(9), 50, {} });
-    cr_assert(rows.put(EngineRow { UpstreamId("u"), 2, FencingToken(5), 1, { copy } }));
-    cr_assert(rows.copy(record("u", 2), adapter).has_value());
-    cr_assert_not(rows.put(EngineRow { UpstreamId("u"), 1, FencingToken(9), 51, {} }));
+    ResidencyTable residencies;
+    residencies.put(EngineResidency { UpstreamId("u"), 1, FencingToken(9), 50, {} });
+    cr_assert(residencies.put(EngineResidency { UpstreamId("u"), 2, FencingToken(5), 1, { copy } }));
+    cr_assert(residencies.copy(record("u", 2), adapter).has_value());
+    cr_assert_not(residencies.put(EngineResidency { UpstreamId("u"), 1, FencingToken(9), 51, {} }));
 }
 
 // Twelve nodes choose at once on the same figures. With what each has just sent counted, no engine gets more than its share twice over.
--- a/tests/coordination/weightstorebench.h
+++ b/tests/coordination/weightstorebench.h
@@ -122,7 +122,7 @@
     void replaceNode(std::size_t index)
     {
         auto node = std::make_unique<Node>();
-        node->rows = m_nodes[index]->rows;
+        node->residencies = m_nodes[index]->residencies;
         node->plan = std::make_unique<AdapterPlan>(AdapterPlanLimits {}, FencingToken(500 + index), node->loads);
         m_nodes[index] = std::move(node);
     }
@@ -218,7 +218,7 @@
     struct Node
     {
         AdapterLoads loads;
-        EngineRows rows;
+        ResidencyTable residencies;
         std::unique_ptr<AdapterPlan> plan;
         bool isStopped = false;
     };
@@ -271,7 +271,7 @@
                 continue;
             }
             for (std::size_t i = 0; i < m_engines.size() && !request.isPlaced; ++i) {
-                const auto copy = m_nodes[0]->rows.copy(m_records[i], AdapterRef { BaseModelId("m"), AdapterId(request.adapter) });
+                const auto copy = m_nodes[0]->residencies.copy(m_records[i], AdapterRef { BaseModelId("m"), AdapterId(request.adapter) });
                 if (copy && copy->isReady && !m_engines[i].isDown) {
                     request.isPlaced = true;
                     request.engine = static_cast<int>(i);
@@ -320,7 +320,7 @@
             planned.push_back(
                 PlannedEngine { &m_records[i], &m_spec, 0, 0, 1, owner == index, !m_nodes[owner]->isStopped, !m_engines[i].isDown });
         }
-        node.plan->setEngines(planned, node.rows, m_now);
+        node.plan->setEngines(planned, node.residencies, m_now);
         node.plan->setTurn(PlanTurn { index, m_nodes.size() });
         node.plan->onUses(NodeId("n"), m_uses, m_now);
         for (const PlanAction &action : node.plan->decide(m_now)) {
@@ -330,10 +330,10 @@
                 if (!m_engines[indexOf(ask->engine)].isDown) {
                     node.plan->onReport(ask->engine, reportOfEngine(m_engines[indexOf(ask->engine)]), m_now);
                 }
-            } else if (const auto *announce = std::get_if<AnnounceRow>(&action)) {
+            } else if (const auto *announce = std::get_if<AnnounceResidency>(&action)) {
                 for (auto &each : m_nodes) {
-                    if (each->rows.put(announce->row)) {
-                        each->loads.onRow(announce->row, m_now);
+                    if (each->residencies.put(announce->residency)) {
+                        each->loads.onResidency(announce->residency, m_now);
                     }
                 }
             }
--- a/tests/main/testrequestforwarder.cpp
+++ b/tests/main/testrequestforwarder.cpp
@@ -363,7 +363,7 @@
     Bench bench;
     bench.configure(RequestKind::Stream, 2, true);
     bench.addUpstream("u1", upstream);
-    bench.beliefs.rows.put(EngineRow {
+    bench.beliefs.residencies.put(EngineResidency {
         UpstreamId("u1"), 1, FencingToken(1), 1, { AdapterCopy { BaseModelId("m"), AdapterId("a7"), AdapterVersion("1"), true } } });
     HttpRequest request = Bench::request();
     request.headers["apricotstep-model"] = "m/a7";
