--- a/coordination/adapterloads.cpp
+++ b/coordination/adapterloads.cpp
@@ -65,14 +65,14 @@
 
 } // namespace
 
-AdapterLoads::AdapterLoads(AdapterLoadsLimits limits)
+AdapterLoadEstimator::AdapterLoadEstimator(AdapterLoadsLimits limits)
     : m_limits(limits)
     , m_window(limits.firstWindow)
 {
     m_chances.fill(1);
 }
 
-void AdapterLoads::onResidency(const EngineResidency &residency, Time now)
+void AdapterLoadEstimator::onResidency(const EngineResidency &residency, Time now)
 {
     Engine &engine = m_engines[residency.engine];
     if (engine.startedAt != residency.startedAt) {
@@ -108,7 +108,7 @@
     engine.ready = std::move(ready);
 }
 
-void AdapterLoads::noteCopy(Engine &engine, std::uint64_t adapter, bool isReady, bool wasReady, FencingToken fence, Time now)
+void AdapterLoadEstimator::noteCopy(Engine &engine, std::uint64_t adapter, bool isReady, bool wasReady, FencingToken fence, Time now)
 {
     const auto load = std::find_if(engine.loads.begin(), engine.loads.end(), [adapter](const Load &at) { return at.adapter == adapter; });
     if (isReady && load != engine.loads.end()) {
@@ -122,14 +122,14 @@
     }
 }
 
-void AdapterLoads::abandonLoads(const Engine &engine)
+void AdapterLoadEstimator::abandonLoads(const Engine &engine)
 {
     for (const Load &load : engine.loads) {
         m_fetches -= load.isThoughtAtHand ? 0 : 1;
     }
 }
 
-void AdapterLoads::remove(const UpstreamId &id)
+void AdapterLoadEstimator::remove(const UpstreamId &id)
 {
     const auto at = m_engines.find(id);
     if (at != m_engines.end()) {
@@ -138,7 +138,7 @@
     }
 }
 
-void AdapterLoads::begin(Engine &engine, std::uint64_t adapter, FencingToken fence, Time now)
+void AdapterLoadEstimator::begin(Engine &engine, std::uint64_t adapter, FencingToken fence, Time now)
 {
     Load load { adapter, now, fence, 0, ageOf(engine, adapter), false };
     load.isThoughtAtHand = load.age > 0 && chance(load.age) > LikelyAtHand;
@@ -147,7 +147,7 @@
     engine.loads.push_back(load);
 }
 
-void AdapterLoads::end(const Load &load, FencingToken fence, Time now)
+void AdapterLoadEstimator::end(const Load &load, FencingToken fence, Time now)
 {
     const double fetches = (load.fetchesAtBegin + m_fetches) / 2;
     m_fetches -= load.isThoughtAtHand ? 0 : 1;
@@ -166,7 +166,7 @@
     }
 }
 
-void AdapterLoads::noteSeen(double tookMs)
+void AdapterLoadEstimator::noteSeen(double tookMs)
 {
     if (m_seen.size() < SeenKept) {
         m_seen.push_back(tookMs);
@@ -179,7 +179,7 @@
 // Engines that have run for longer than this node hold adapters at hand that it does not know of. It may see those first and take their
 // time for that of a fetch; every real fetch then seems slowed down, and the window shrinks to nothing. So where the times fall into two
 // sorts, the longer one is that of the fetches. A time that is too long does less harm: it only lets more fetches share the store.
-void AdapterLoads::correctShortest()
+void AdapterLoadEstimator::correctShortest()
 {
     std::vector<double> sorted = m_seen;
     std::sort(sorted.begin(), sorted.end());
@@ -200,7 +200,7 @@
     }
 }
 
-void AdapterLoads::onOwnLoad(const OwnLoad &load, Time now)
+void AdapterLoadEstimator::onOwnLoad(const OwnLoad &load, Time now)
 {
     const auto tookMs = std::max(static_cast<double>(load.took.milliseconds()), 1.0);
     const auto at = m_engines.find(load.engine);
@@ -228,31 +228,31 @@
     m_usualFetchMs = std::max(m_usualFetchMs, m_shortestMs * EarliestPart);
 }
 
-void AdapterLoads::adopt(const StoreView &view, Time now)
+void AdapterLoadEstimator::adopt(const StoreView &view, Time now)
 {
-    if (m_shortestMs > 0 || view.shortestFetch <= Duration(0) || !std::isfinite(view.fetchesAtOnce)) {
+    if (m_shortestMs > 0 || view.minFetchTime <= Duration(0) || !std::isfinite(view.maxConcurrentFetches)) {
         return;
     }
-    m_shortestMs = static_cast<double>(view.shortestFetch.milliseconds());
+    m_shortestMs = static_cast<double>(view.minFetchTime.milliseconds());
     m_shortestAt = now;
-    m_usualFetchMs = std::max(static_cast<double>(view.usualFetch.milliseconds()), m_shortestMs);
-    m_usualAtHandMs = static_cast<double>(std::max(view.usualAtHand, Duration(0)).milliseconds());
-    m_window = std::clamp(view.fetchesAtOnce, m_limits.leastWindow, MostFetches);
-    m_hasSlowedDown = view.hasSlowedDown;
+    m_usualFetchMs = std::max(static_cast<double>(view.typicalFetchTime.milliseconds()), m_shortestMs);
+    m_usualAtHandMs = static_cast<double>(std::max(view.typicalCachedLoadTime, Duration(0)).milliseconds());
+    m_window = std::clamp(view.maxConcurrentFetches, m_limits.leastWindow, MostFetches);
+    m_hasSlowedDown = view.hasSeenContention;
     // The other may have been misled; its time stands beside the ones that this node sees.
     noteSeen(m_shortestMs);
 }
 
-std::optional<StoreView> AdapterLoads::view() const
+std::optional<StoreView> AdapterLoadEstimator::view() const
 {
     if (m_shortestMs == 0) {
         return std::nullopt;
     }
-    return StoreView { m_window, shortestFetch(), firstQuestion(false), Duration(static_cast<std::int64_t>(m_usualAtHandMs)),
+    return StoreView { m_window, minFetchTime(), firstPollDelay(false), Duration(static_cast<std::int64_t>(m_usualAtHandMs)),
         m_hasSlowedDown };
 }
 
-void AdapterLoads::drop(Engine &engine, std::uint64_t adapter)
+void AdapterLoadEstimator::drop(Engine &engine, std::uint64_t adapter)
 {
     engine.droppedAs[adapter] = ++engine.drops;
     if (engine.droppedAs.size() > DropsRemembered) {
@@ -261,7 +261,7 @@
     }
 }
 
-void AdapterLoads::moveWindow(double fetches, double stretch)
+void AdapterLoadEstimator::moveWindow(double fetches, double stretch)
 {
     if (stretch < m_limits.slowedDown) {
         // Fewer under way than are allowed show nothing of what the store bears.
@@ -277,22 +277,22 @@
     }
 }
 
-int AdapterLoads::fetchesAtOnce() const
+int AdapterLoadEstimator::maxConcurrentFetches() const
 {
     return static_cast<int>(m_window);
 }
 
-int AdapterLoads::fetchesUnderWay() const
+int AdapterLoadEstimator::fetchesInFlight() const
 {
     return m_fetches;
 }
 
-Duration AdapterLoads::shortestFetch() const
+Duration AdapterLoadEstimator::minFetchTime() const
 {
     return m_shortestMs == 0 ? m_limits.timeBeforeFirst : Duration(static_cast<std::int64_t>(m_shortestMs));
 }
 
-Duration AdapterLoads::firstQuestion(bool isAtHand) const
+Duration AdapterLoadEstimator::firstPollDelay(bool isAtHand) const
 {
     if (m_usualFetchMs == 0) {
         return FirstGuess;
@@ -306,7 +306,7 @@
     return Duration(static_cast<std::int64_t>(std::min(usualMs, latestMs)));
 }
 
-Duration AdapterLoads::nextQuestion(Duration elapsed, int unfinished, bool isAtHand) const
+Duration AdapterLoadEstimator::nextQuestion(Duration elapsed, int unfinished, bool isAtHand) const
 {
     const auto elapsedMs = static_cast<double>(elapsed.milliseconds());
     double again = m_usualFetchMs * AgainPart;
@@ -320,7 +320,7 @@
     return std::max(LeastAgain, Duration(static_cast<std::int64_t>(again)));
 }
 
-double AdapterLoads::chanceAtHand(const UpstreamId &id, const AdapterRef &adapter) const
+double AdapterLoadEstimator::chanceAtHand(const UpstreamId &id, const AdapterRef &adapter) const
 {
     const auto at = m_engines.find(id);
     if (at == m_engines.end()) {
@@ -330,17 +330,17 @@
     return age == 0 ? 0 : chance(age);
 }
 
-bool AdapterLoads::isThoughtAtHand(const UpstreamId &engine, const AdapterRef &adapter) const
+bool AdapterLoadEstimator::isThoughtAtHand(const UpstreamId &engine, const AdapterRef &adapter) const
 {
     return chanceAtHand(engine, adapter) > LikelyAtHand;
 }
 
-double AdapterLoads::chance(std::uint32_t age) const
+double AdapterLoadEstimator::chance(std::uint32_t age) const
 {
     return m_chances[ageClass(age, Ages)];
 }
 
-std::uint32_t AdapterLoads::ageOf(const Engine &engine, std::uint64_t adapter)
+std::uint32_t AdapterLoadEstimator::ageOf(const Engine &engine, std::uint64_t adapter)
 {
     const auto at = engine.droppedAs.find(adapter);
     if (at != engine.droppedAs.end()) {
--- a/coordination/adapterloads.h
+++ b/coordination/adapterloads.h
@@ -64,10 +64,10 @@
 };
 
 /** Observes how long loads of adapters take, how many the weight store bears, and what engines keep at hand. Not thread-safe. */
-class AdapterLoads
+class AdapterLoadEstimator
 {
 public:
-    explicit AdapterLoads(AdapterLoadsLimits limits = {});
+    explicit AdapterLoadEstimator(AdapterLoadsLimits limits = {});
 
     /** @p residency is news; rows of one engine come in their order. */
     void onResidency(const EngineResidency &residency, Time now);
@@ -81,13 +81,13 @@
     void remove(const UpstreamId &engine);
 
     /** How many fetches may be under way from the store, over all engines. */
-    int fetchesAtOnce() const;
+    int maxConcurrentFetches() const;
     /** Loads under way that are thought to come from the store. */
-    int fetchesUnderWay() const;
+    int fetchesInFlight() const;
     /** What a fetch takes that is not slowed down by others. */
-    Duration shortestFetch() const;
+    Duration minFetchTime() const;
     /** How long after its order to ask whether a load is done. @p isAtHand: the engine is thought to have it at hand. */
-    Duration firstQuestion(bool isAtHand) const;
+    Duration firstPollDelay(bool isAtHand) const;
     /** How long after an answer that it is not to ask again: the @p unfinished -th, @p elapsed after the order. */
     Duration nextQuestion(Duration elapsed, int unfinished, bool isAtHand) const;
     /** How likely @p engine still has @p adapter, which it does not hold now, at hand: 0 to 1. */
--- a/coordination/adapterplan.cpp
+++ b/coordination/adapterplan.cpp
@@ -77,7 +77,7 @@
 {
     AdapterPlanLimits limits;
     FencingToken fence;
-    AdapterLoads &loads;
+    AdapterLoadEstimator &loads;
     std::map<UpstreamId, Engine> engines;
     std::map<AdapterRef, AdapterVersion> versions;
     FleetDemand demand;
@@ -91,7 +91,7 @@
      */
     std::uint64_t rowsTold = 0;
 
-    Private(AdapterPlanLimits limits, FencingToken fence, AdapterLoads &loads)
+    Private(AdapterPlanLimits limits, FencingToken fence, AdapterLoadEstimator &loads)
         : limits(limits)
         , fence(fence)
         , loads(loads)
@@ -159,7 +159,7 @@
 // What so many fetches take, ms.
 double AdapterPlan::Private::inFetches(double count) const
 {
-    return count * static_cast<double>(loads.shortestFetch().milliseconds());
+    return count * static_cast<double>(loads.minFetchTime().milliseconds());
 }
 
 void AdapterPlan::Private::beginRound(Time now)
@@ -285,7 +285,7 @@
 // @p isReady: copies stand somewhere, so that this would be a further one.
 void AdapterPlan::Private::place(const AdapterWant &want, bool isReady, Time now, std::vector<PlanAction> &actions)
 {
-    const bool isStoreBusy = fetches >= loads.fetchesAtOnce();
+    const bool isStoreBusy = fetches >= loads.maxConcurrentFetches();
     const AdapterRef &adapter = want.adapter;
     // All plans see nearly the same; so the plan whose engine is the best of all acts, and the others leave it to that one.
     const bool isOnlyOwn = isOurTurn(want, now);
@@ -344,7 +344,7 @@
 void AdapterPlan::Private::serveWants(Time now, std::vector<PlanAction> &actions)
 {
     std::vector<AdapterWant> pendingAdapters = demand.pendingAdapters();
-    orderWants(pendingAdapters, {}, loads.firstQuestion(false), now);
+    orderWants(pendingAdapters, {}, loads.firstPollDelay(false), now);
     for (const AdapterWant &want : pendingAdapters) {
         bool isBeingSeenTo = false;
         bool isReady = false;
@@ -464,7 +464,7 @@
     }
 }
 
-AdapterPlan::AdapterPlan(AdapterPlanLimits limits, FencingToken fence, AdapterLoads &loads)
+AdapterPlan::AdapterPlan(AdapterPlanLimits limits, FencingToken fence, AdapterLoadEstimator &loads)
     : d(std::make_unique<Private>(limits, fence, loads))
 {
 }
@@ -632,7 +632,7 @@
         if (copy.state != CopyState::Loading) {
             copy.state = CopyState::Loading;
             copy.since = now;
-            copy.askAt = copy.orderedAt.value_or(now) + d->loads.firstQuestion(copy.isAtHand);
+            copy.askAt = copy.orderedAt.value_or(now) + d->loads.firstPollDelay(copy.isAtHand);
         } else {
             const Duration elapsed = now - copy.orderedAt.value_or(copy.since);
             copy.askAt = now + d->loads.nextQuestion(elapsed, ++copy.unfinished, copy.isAtHand);
--- a/coordination/adapterplan.h
+++ b/coordination/adapterplan.h
@@ -20,10 +20,10 @@
 // Without one plan for all engines: two nodes load the same adapter at two engines and evict two others for it; an engine that is ordered
 // beyond its places crashes; and more fetches at once than the weight store bears make all of them slow. One would notice more
 // loads than requests for adapters that stand nowhere.
-// Grounds for the figures: what a load costs is measured in the time of a fetch, which is observed (AdapterLoads), as is the number of
-// fetches at once. Popularity halves in twenty seconds, some hundred requests of an engine's: long against the pause between two requests
-// of an adapter worth keeping, short against a shift of demand. A fresh copy is not evicted before the requests that it was loaded for have
-// had the time to arrive.
+// Grounds for the figures: what a load costs is measured in the time of a fetch, which is observed (AdapterLoadEstimator), as is the number
+// of fetches at once. Popularity halves in twenty seconds, some hundred requests of an engine's: long against the pause between two
+// requests of an adapter worth keeping, short against a shift of demand. A fresh copy is not evicted before the requests that it was loaded
+// for have had the time to arrive.
 
 struct AdapterPlanLimits
 {
@@ -117,7 +117,7 @@
 public:
     /** @p fence: the token under which rows are announced. @p loads outlives the plan; it hears of the rows of all engines, this plan's
      * too. */
-    AdapterPlan(AdapterPlanLimits limits, FencingToken fence, AdapterLoads &loads);
+    AdapterPlan(AdapterPlanLimits limits, FencingToken fence, AdapterLoadEstimator &loads);
     ~AdapterPlan();
 
     /** The engines that there are now. @p residencies tells what stands at those that are new to this plan. */
--- a/coordination/fleetmessage.h
+++ b/coordination/fleetmessage.h
@@ -74,13 +74,13 @@
 /** What a node has seen of the weight store; for nodes that have just started. */
 struct StoreView
 {
-    double fetchesAtOnce = 0;
-    Duration shortestFetch;
-    Duration usualFetch;
+    double maxConcurrentFetches = 0;
+    Duration minFetchTime;
+    Duration typicalFetchTime;
     /** Zero when no load at hand has been seen. */
-    Duration usualAtHand;
+    Duration typicalCachedLoadTime;
     /** Fetches have been seen to slow each other down. */
-    bool hasSlowedDown = false;
+    bool hasSeenContention = false;
 
     bool operator==(const StoreView &) const = default;
 };
--- a/main/entry/beliefs.h
+++ b/main/entry/beliefs.h
@@ -30,7 +30,7 @@
     std::shared_ptr<const RouteTable> routes;
     UpstreamDirectory upstreams { UpstreamDirectoryLimits {} };
     ResidencyTable residencies;
-    AdapterLoads adapterLoads;
+    AdapterLoadEstimator loadEstimator;
     std::map<AdapterRef, KnownVersion> versions;
     UpstreamBook book;
     /** Which engines this node uses; empty: all. */
@@ -42,14 +42,14 @@
     {
         const bool isNews = residencies.put(residency);
         if (isNews) {
-            adapterLoads.onResidency(residency, now);
+            loadEstimator.onResidency(residency, now);
         }
         return isNews;
     }
     void forgetRow(const UpstreamId &engine)
     {
         residencies.remove(engine);
-        adapterLoads.remove(engine);
+        loadEstimator.remove(engine);
     }
     const EngineSpec *engineSpec(const ServiceName &service) const
     {
--- a/main/entry/fleetlink.cpp
+++ b/main/entry/fleetlink.cpp
@@ -166,7 +166,7 @@
     OwnAccount account = callbacks.account();
     message.loads = std::move(account.loads);
     message.uses = std::move(account.uses);
-    message.store = beliefs.adapterLoads.view();
+    message.store = beliefs.loadEstimator.view();
     return message;
 }
 
@@ -412,7 +412,7 @@
 {
     FleetMessage answer = base();
     answer.contacts = someContacts(ContactsInGreeting);
-    answer.store = beliefs.adapterLoads.view();
+    answer.store = beliefs.loadEstimator.view();
     socket->send(from.peerAddress, encodeFleetMessage(answer));
 }
 
@@ -445,7 +445,7 @@
         callbacks.onPendingAdapters(message.sender, message.uses);
     }
     if (message.store) {
-        beliefs.adapterLoads.adopt(*message.store, now());
+        beliefs.loadEstimator.adopt(*message.store, now());
     }
     bool isNews = false;
     for (const EngineResidency &residency : message.residencies) {
--- a/main/entry/orderrunner.cpp
+++ b/main/entry/orderrunner.cpp
@@ -128,7 +128,7 @@
     }
     if (plan == nullptr || fence != *token) {
         fence = *token;
-        plan = std::make_unique<AdapterPlan>(AdapterPlanLimits {}, fence, beliefs.adapterLoads);
+        plan = std::make_unique<AdapterPlan>(AdapterPlanLimits {}, fence, beliefs.loadEstimator);
         log.write(EventLog::Weight::Important, "orders", "started",
             { { "shard", std::int64_t(shard.value()) }, { "fence", static_cast<std::int64_t>(fence.value()) } });
     }
@@ -190,11 +190,11 @@
         return;
     }
     storeLoggedAt = now();
-    const AdapterLoads &loads = beliefs.adapterLoads;
+    const AdapterLoadEstimator &loads = beliefs.loadEstimator;
     log.write(EventLog::Weight::Important, "orders", "store",
-        { { "shard", std::int64_t(shard.value()) }, { "fetches", std::int64_t(loads.fetchesUnderWay()) },
-            { "fetchesAtOnce", std::int64_t(loads.fetchesAtOnce()) }, { "shortestMs", loads.shortestFetch().milliseconds() },
-            { "usualMs", loads.firstQuestion(false).milliseconds() }, { "atHandMs", loads.firstQuestion(true).milliseconds() } });
+        { { "shard", std::int64_t(shard.value()) }, { "fetches", std::int64_t(loads.fetchesInFlight()) },
+            { "fetchesAtOnce", std::int64_t(loads.maxConcurrentFetches()) }, { "shortestMs", loads.minFetchTime().milliseconds() },
+            { "usualMs", loads.firstPollDelay(false).milliseconds() }, { "atHandMs", loads.firstPollDelay(true).milliseconds() } });
 }
 
 PlanTurn OrderRunner::Private::turn() const
--- a/main/entry/requestjob.cpp
+++ b/main/entry/requestjob.cpp
@@ -243,7 +243,7 @@
 
 Duration RequestJob::fetches(double count) const
 {
-    const auto one = static_cast<double>(m_context.beliefs().adapterLoads.shortestFetch().milliseconds());
+    const auto one = static_cast<double>(m_context.beliefs().loadEstimator.minFetchTime().milliseconds());
     return Duration(static_cast<std::int64_t>(count * one));
 }
 
--- a/protocol/fleetcodec.cpp
+++ b/protocol/fleetcodec.cpp
@@ -173,11 +173,11 @@
 
 void encodeStore(const StoreView &store, Wire::StoreViewWire::Builder wire)
 {
-    wire.setFetchesAtOnce(store.fetchesAtOnce);
-    wire.setShortestFetchMs(store.shortestFetch.milliseconds());
-    wire.setUsualFetchMs(store.usualFetch.milliseconds());
-    wire.setUsualAtHandMs(store.usualAtHand.milliseconds());
-    wire.setHasSlowedDown(store.hasSlowedDown);
+    wire.setFetchesAtOnce(store.maxConcurrentFetches);
+    wire.setShortestFetchMs(store.minFetchTime.milliseconds());
+    wire.setUsualFetchMs(store.typicalFetchTime.milliseconds());
+    wire.setUsualAtHandMs(store.typicalCachedLoadTime.milliseconds());
+    wire.setHasSlowedDown(store.hasSeenContention);
 }
 
 StoreView decodeStore(Wire::StoreViewWire::Reader wire)
--- a/tests/coordination/testadapterloads.cpp
+++ b/tests/coordination/testadapterloads.cpp
@@ -37,7 +37,7 @@
     for (int round = 0; round < 6; ++round) {
         bench.runLoad(Duration::seconds(5), 60, 2000, 0.8);
         if (round > 0) {
-            cr_assert_leq(bench.loads().fetchesAtOnce(), 2 * SmallStore.bearsAtOnce);
+            cr_assert_leq(bench.loads().maxConcurrentFetches(), 2 * SmallStore.bearsAtOnce);
         }
     }
 }
@@ -50,7 +50,7 @@
         WeightStoreBench bench(figures);
         bench.runLoad(Duration::seconds(15), 20, 2000, 1.0);
         const auto fetch = static_cast<double>(figures.fetch.milliseconds());
-        const auto seen = static_cast<double>(bench.loads().shortestFetch().milliseconds());
+        const auto seen = static_cast<double>(bench.loads().minFetchTime().milliseconds());
         cr_assert_geq(seen, fetch * 0.95);
         cr_assert_leq(seen, fetch * 1.3, "a fetch of %.0f ms is taken for one of %.0f", fetch, seen);
     }
@@ -97,7 +97,7 @@
     bench.runLoad(Duration::seconds(3), 150, 600, 1.0);
     const Time settled = bench.now();
     bench.runLoad(Duration::seconds(8), 150, 3000, 1.0);
-    cr_assert_geq(bench.loads().fetchesAtOnce(), WideStore.bearsAtOnce / 2);
+    cr_assert_geq(bench.loads().maxConcurrentFetches(), WideStore.bearsAtOnce / 2);
     cr_assert_leq(bench.waitAt(0.9, settled), 600);
 }
 
@@ -130,7 +130,7 @@
         const Time settled = bench.now();
         bench.runLoad(Duration::seconds(4), 150, 3000, 1.0);
         for (std::size_t node = 0; node < static_cast<std::size_t>(figures.plans); ++node) {
-            const auto shortest = static_cast<long long>(bench.loads(node).shortestFetch().milliseconds());
+            const auto shortest = static_cast<long long>(bench.loads(node).minFetchTime().milliseconds());
             cr_assert_geq(shortest, 200, "node %zu takes %lld ms for a fetch", node, shortest);
         }
         cr_assert_leq(bench.waitAt(0.9, settled), 600);
@@ -143,8 +143,8 @@
 {
     WeightStoreBench bench(WideStore);
     bench.runLoad(Duration::seconds(6), 250, 3000, 0.8);
-    const int before = bench.loads(1).fetchesAtOnce();
+    const int before = bench.loads(1).maxConcurrentFetches();
     bench.replaceNode(1);
     bench.runLoad(Duration(100), 250, 3000, 0.8);
-    cr_assert_geq(bench.loads(1).fetchesAtOnce() * 2, before);
+    cr_assert_geq(bench.loads(1).maxConcurrentFetches() * 2, before);
 }
--- a/tests/coordination/testadapterplan.cpp
+++ b/tests/coordination/testadapterplan.cpp
@@ -221,7 +221,7 @@
     std::vector<AdapterUse> m_uses;
     ResidencyTable m_rows;
     ResidencyTable m_announced;
-    AdapterLoads m_loadTimes;
+    AdapterLoadEstimator m_loadTimes;
     AdapterPlan m_plan { AdapterPlanLimits {}, FencingToken(7), m_loadTimes };
     bool m_isUnloadWaiting = false;
     int m_crashes = 0;
--- a/tests/coordination/weightstorebench.h
+++ b/tests/coordination/weightstorebench.h
@@ -177,7 +177,7 @@
     {
         return m_crashes;
     }
-    const AdapterLoads &loads(std::size_t node = 0) const
+    const AdapterLoadEstimator &loads(std::size_t node = 0) const
     {
         return m_nodes[node]->loads;
     }
@@ -217,7 +217,7 @@
     };
     struct Node
     {
-        AdapterLoads loads;
+        AdapterLoadEstimator loads;
         ResidencyTable residencies;
         std::unique_ptr<AdapterPlan> plan;
         bool isStopped = false;
