--- a/coordination/adapterplan.cpp
+++ b/coordination/adapterplan.cpp
@@ -81,7 +81,7 @@
     std::map<UpstreamId, Engine> engines;
     std::map<AdapterRef, AdapterVersion> versions;
     FleetDemand demand;
-    PlanTurn turn;
+    PlanRotation turn;
     /** Adapters on their way from the store to all engines, in this round. */
     int fetches = 0;
     /**
@@ -224,7 +224,7 @@
 // Empty when the engine cannot take it now.
 std::optional<double> AdapterPlan::Private::costOfPlace(Engine &engine, const AdapterRef &adapter, Time now) const
 {
-    const bool isBarred = isOut(engine, now) || !engine.isReported || !engine.planned.isOrdered || engine.planned.spec == nullptr
+    const bool isBarred = isOut(engine, now) || !engine.isReported || !engine.planned.hasHolder || engine.planned.spec == nullptr
         || engine.copies.contains(adapter);
     if (isBarred || !holdsModel(engine, adapter.model) || loadsUnderWay(engine) >= limits.loadsAtOnceOfEngine) {
         return std::nullopt;
@@ -262,7 +262,7 @@
     copy.orderedAt = now;
     engine.isChanged = true;
     fetches += copy.isAtHand ? 0 : 1;
-    actions.emplace_back(GiveOrder { loadOrder(id, adapter) });
+    actions.emplace_back(SendOrder { loadOrder(id, adapter) });
 }
 
 // The engine where all plans would rather have the adapter, now and after a restart of every node. Without it nobody knows then which
@@ -325,7 +325,7 @@
     copy.askAt = Time::never();
     copy.isAsked = true;
     best->isChanged = true;
-    actions.emplace_back(GiveOrder { dropOrder(bestId, least) });
+    actions.emplace_back(SendOrder { dropOrder(bestId, least) });
 }
 
 // Some node wants an adapter that should be in place: it does not know yet, or the engine lost it. The engine is asked.
@@ -378,10 +378,10 @@
             }
             if (copy.state == CopyState::Loading || copy.state == CopyState::Checking) {
                 copy.isAsked = true;
-                actions.emplace_back(GiveOrder { loadOrder(id, adapter) });
+                actions.emplace_back(SendOrder { loadOrder(id, adapter) });
             } else if (copy.state == CopyState::Dropping) {
                 copy.isAsked = true;
-                actions.emplace_back(GiveOrder { dropOrder(id, adapter) });
+                actions.emplace_back(SendOrder { dropOrder(id, adapter) });
             }
         }
     }
@@ -430,7 +430,7 @@
         const BaseModelId &model = engine.planned.spec->models.front().id;
         engine.loadingModels.emplace(model, now);
         ++underWay;
-        actions.emplace_back(GiveOrder { EngineOrder { EngineOrder::Kind::Load, model, {}, {}, id } });
+        actions.emplace_back(SendOrder { EngineOrder { EngineOrder::Kind::Load, model, {}, {}, id } });
     }
 }
 
@@ -440,7 +440,7 @@
         const Duration interval = engine.loadingModels.empty() ? limits.reportInterval : limits.reportInterval - limits.reportLag;
         if (engine.planned.isOwn && engine.planned.spec != nullptr && now - engine.reportAskedAt >= interval) {
             engine.reportAskedAt = now;
-            actions.emplace_back(AskEngineReport { id });
+            actions.emplace_back(RequestEngineReport { id });
         }
     }
 }
@@ -546,7 +546,7 @@
     }
 }
 
-void AdapterPlan::setTurn(PlanTurn turn)
+void AdapterPlan::setRotation(PlanRotation turn)
 {
     d->turn = turn;
 }
@@ -685,7 +685,7 @@
         for (const AdapterKey &key : model.adapters) {
             reported[AdapterRef { model.id, key.id }] = AdapterCopy { model.id, key.id, key.version, true };
         }
-        for (const AdapterKey &key : report.coming) {
+        for (const AdapterKey &key : report.loading) {
             reported.emplace(AdapterRef { model.id, key.id }, AdapterCopy { model.id, key.id, key.version, false });
         }
     }
@@ -711,7 +711,7 @@
     engine.isChanged = std::erase_if(engine.copies, isGone) > 0 || engine.isChanged;
 }
 
-Time AdapterPlan::nextLook(Time now) const
+Time AdapterPlan::nextDecisionTime(Time now) const
 {
     Time next = now + (d->demand.pendingAdapters().empty() ? d->limits.lookUnasked : d->limits.lookWanted);
     for (const auto &[id, engine] : d->engines) {
--- a/coordination/adapterplan.h
+++ b/coordination/adapterplan.h
@@ -69,12 +69,12 @@
 };
 
 /** Give this order; the answer goes to onOrderAnswer(). */
-struct GiveOrder
+struct SendOrder
 {
     EngineOrder order;
 };
 /** Ask this engine for a report; it goes to onReport(). */
-struct AskEngineReport
+struct RequestEngineReport
 {
     UpstreamId engine;
 };
@@ -83,10 +83,10 @@
 {
     EngineResidency residency;
 };
-using PlanAction = std::variant<GiveOrder, AskEngineReport, AnnounceResidency>;
+using PlanAction = std::variant<SendOrder, RequestEngineReport, AnnounceResidency>;
 
 /** Which wants this plan meets when no plan has met them. */
-struct PlanTurn
+struct PlanRotation
 {
     /** This plan's place among the plans that are active now, and their number. */
     std::size_t index = 0;
@@ -106,7 +106,7 @@
     /** This plan orders it; the others are known by their rows. */
     bool isOwn = true;
     /** Somebody gives it orders now. */
-    bool isOrdered = true;
+    bool hasHolder = true;
     /** Connections to it could be made lately. */
     bool isReachable = true;
 };
@@ -123,7 +123,7 @@
     /** The engines that there are now. @p residencies tells what stands at those that are new to this plan. */
     void setEngines(const std::vector<PlannedEngine> &engines, const ResidencyTable &residencies, Time now);
     /** How wants that nobody has met are dealt out among the plans of all shards. */
-    void setTurn(PlanTurn turn);
+    void setRotation(PlanRotation turn);
     /** @p version of @p adapter is the newest. */
     void setVersion(const AdapterRef &adapter, const AdapterVersion &version);
     /** What @p node runs and waits for; replaces what it said before. */
@@ -133,10 +133,10 @@
     void onOrderAnswer(const EngineOrder &order, OrderAnswer answer, Time now);
     /** @p askedAt: when the report was asked for. */
     void onReport(const UpstreamId &engine, const EngineReport &report, Time askedAt);
-    /** What to do now; call it after each event and at nextLook(). */
+    /** What to do now; call it after each event and at nextDecisionTime(). */
     std::vector<PlanAction> decide(Time now);
     /** When to call decide() again if nothing happens before. */
-    Time nextLook(Time now) const;
+    Time nextDecisionTime(Time now) const;
 
 private:
     struct Private;
--- a/coordination/engineorder.h
+++ b/coordination/engineorder.h
@@ -48,7 +48,7 @@
 {
     std::vector<HeldModel> models;
     /** Adapters on their way into its memory. */
-    std::vector<AdapterKey> coming;
+    std::vector<AdapterKey> loading;
     int waiting = 0;
     int running = 0;
     /** Tokens of memory that cannot be given up, and all. */
--- a/main/entry/orderrunner.cpp
+++ b/main/entry/orderrunner.cpp
@@ -92,7 +92,7 @@
     void decideSoon();
     bool followLease();
     void logStore();
-    PlanTurn turn() const;
+    PlanRotation turn() const;
     void updateOrdered();
     std::vector<PlannedEngine> engines() const;
     void carryOut(const PlanAction &action, std::vector<EngineResidency> &residencies);
@@ -105,7 +105,7 @@
 void OrderRunner::Private::tick()
 {
     decide();
-    const Duration pause = plan != nullptr ? plan->nextLook(now()) - now() : IdleInterval;
+    const Duration pause = plan != nullptr ? plan->nextDecisionTime(now()) - now() : IdleInterval;
     loop.cancel(timer);
     timer = loop.after(pause, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
@@ -163,9 +163,9 @@
                 continue;
             }
             const FleetLoad load = beliefs.book.load(record->id, now());
-            const bool isOrdered = orderedShards[owner.value()];
+            const bool hasHolder = orderedShards[owner.value()];
             result.push_back(PlannedEngine { record, &*service.engine, load.running, load.pendingTokens,
-                beliefs.outliers.share(record->id, now()), owner == shard, isOrdered, beliefs.outliers.isReachable(record->id, now()) });
+                beliefs.outliers.share(record->id, now()), owner == shard, hasHolder, beliefs.outliers.isReachable(record->id, now()) });
         }
     }
     return result;
@@ -197,9 +197,9 @@
             { "usualMs", loads.firstPollDelay(false).milliseconds() }, { "atHandMs", loads.firstPollDelay(true).milliseconds() } });
 }
 
-PlanTurn OrderRunner::Private::turn() const
+PlanRotation OrderRunner::Private::turn() const
 {
-    PlanTurn result { 0, 0 };
+    PlanRotation result { 0, 0 };
     for (std::uint64_t other = 0; other < orderedShards.size(); ++other) {
         if (!fleet.areWeighedTogether(EngineShard(other), shard)) {
             continue;
@@ -221,7 +221,7 @@
     decidedAt = now();
     updateOrdered();
     plan->setEngines(engines(), beliefs.residencies, now());
-    plan->setTurn(turn());
+    plan->setRotation(turn());
     for (const auto &[adapter, known] : beliefs.versions) {
         plan->setVersion(adapter, known.version);
     }
@@ -239,8 +239,8 @@
 void OrderRunner::Private::carryOut(const PlanAction &action, std::vector<EngineResidency> &residencies)
 {
     std::visit(Overloaded {
-                   [this](const GiveOrder &give) { this->give(give.order); },
-                   [this](const AskEngineReport &ask) { askReport(ask.engine); },
+                   [this](const SendOrder &give) { this->give(give.order); },
+                   [this](const RequestEngineReport &ask) { askReport(ask.engine); },
                    [&residencies](const AnnounceResidency &announce) { residencies.push_back(announce.residency); },
                },
         action);
--- a/tests/coordination/testadapterplan.cpp
+++ b/tests/coordination/testadapterplan.cpp
@@ -115,7 +115,7 @@
     struct EngineState
     {
         std::vector<std::string> held;
-        std::vector<Load> coming;
+        std::vector<Load> loading;
         double pendingTokens = 0;
         bool isDown = false;
     };
@@ -140,9 +140,9 @@
             use.count = 0;
         }
         for (const PlanAction &action : m_plan.decide(m_now)) {
-            if (const auto *give = std::get_if<GiveOrder>(&action)) {
+            if (const auto *give = std::get_if<SendOrder>(&action)) {
                 m_plan.onOrderAnswer(give->order, carryOut(give->order), m_now);
-            } else if (const auto *ask = std::get_if<AskEngineReport>(&action)) {
+            } else if (const auto *ask = std::get_if<RequestEngineReport>(&action)) {
                 answerReport(ask->engine);
             } else if (const auto *announce = std::get_if<AnnounceResidency>(&action)) {
                 if (m_announced.put(announce->residency)) {
@@ -157,13 +157,13 @@
     }
     void finishLoads(EngineState &engine) const
     {
-        for (auto at = engine.coming.begin(); at != engine.coming.end();) {
+        for (auto at = engine.loading.begin(); at != engine.loading.end();) {
             if (m_now < at->doneAt) {
                 ++at;
                 continue;
             }
             engine.held.push_back(at->adapter);
-            at = engine.coming.erase(at);
+            at = engine.loading.erase(at);
         }
     }
     // Reports are 200 ms old.
@@ -199,17 +199,17 @@
             engine.held.erase(held);
             return OrderAnswer::Done;
         }
-        const auto coming =
-            std::find_if(engine.coming.begin(), engine.coming.end(), [&name](const Load &load) { return load.adapter == name; });
+        const auto loading =
+            std::find_if(engine.loading.begin(), engine.loading.end(), [&name](const Load &load) { return load.adapter == name; });
         if (held != engine.held.end()) {
             return OrderAnswer::Done;
         }
-        if (coming != engine.coming.end()) {
+        if (loading != engine.loading.end()) {
             return OrderAnswer::Accepted;
         }
         ++m_loads;
-        engine.coming.push_back(Load { name, m_now + Duration(250) });
-        m_crashes += engine.held.size() + engine.coming.size() > Slots ? 1 : 0;
+        engine.loading.push_back(Load { name, m_now + Duration(250) });
+        m_crashes += engine.held.size() + engine.loading.size() > Slots ? 1 : 0;
         return OrderAnswer::Accepted;
     }
 
--- a/tests/coordination/weightstorebench.h
+++ b/tests/coordination/weightstorebench.h
@@ -25,8 +25,8 @@
     for (const std::string &name : engine.held) {
         held.adapters.push_back(AdapterKey { AdapterId(name), AdapterVersion("1") });
     }
-    for (const auto &load : engine.coming) {
-        report.coming.push_back(AdapterKey { AdapterId(load.adapter), AdapterVersion("1") });
+    for (const auto &load : engine.loading) {
+        report.loading.push_back(AdapterKey { AdapterId(load.adapter), AdapterVersion("1") });
     }
     report.models.push_back(held);
     return report;
@@ -210,7 +210,7 @@
     struct Engine
     {
         std::vector<std::string> held;
-        std::vector<Load> coming;
+        std::vector<Load> loading;
         /** The latest held last. */
         std::deque<std::string> atHand;
         bool isDown = false;
@@ -236,23 +236,23 @@
     {
         int fetching = 0;
         for (const Engine &engine : m_engines) {
-            fetching +=
-                static_cast<int>(std::count_if(engine.coming.begin(), engine.coming.end(), [](const Load &load) { return load.isFetch; }));
+            fetching += static_cast<int>(
+                std::count_if(engine.loading.begin(), engine.loading.end(), [](const Load &load) { return load.isFetch; }));
         }
         m_mostFetchesAtOnce = std::max(m_mostFetchesAtOnce, fetching);
         const double speed = std::min(1.0, static_cast<double>(m_figures.bearsAtOnce) / std::max(fetching, 1));
         for (Engine &engine : m_engines) {
-            for (Load &load : engine.coming) {
+            for (Load &load : engine.loading) {
                 load.leftMs -= static_cast<double>(Step.milliseconds()) * (load.isFetch ? speed : 1);
             }
-            for (auto at = engine.coming.begin(); at != engine.coming.end();) {
+            for (auto at = engine.loading.begin(); at != engine.loading.end();) {
                 if (at->leftMs > 0) {
                     ++at;
                     continue;
                 }
                 engine.held.push_back(at->adapter);
                 keepAtHand(engine, at->adapter);
-                at = engine.coming.erase(at);
+                at = engine.loading.erase(at);
             }
         }
     }
@@ -321,12 +321,12 @@
                 PlannedEngine { &m_records[i], &m_spec, 0, 0, 1, owner == index, !m_nodes[owner]->isStopped, !m_engines[i].isDown });
         }
         node.plan->setEngines(planned, node.residencies, m_now);
-        node.plan->setTurn(PlanTurn { index, m_nodes.size() });
+        node.plan->setRotation(PlanRotation { index, m_nodes.size() });
         node.plan->onUses(NodeId("n"), m_uses, m_now);
         for (const PlanAction &action : node.plan->decide(m_now)) {
-            if (const auto *give = std::get_if<GiveOrder>(&action)) {
+            if (const auto *give = std::get_if<SendOrder>(&action)) {
                 node.plan->onOrderAnswer(give->order, carryOut(give->order), m_now);
-            } else if (const auto *ask = std::get_if<AskEngineReport>(&action)) {
+            } else if (const auto *ask = std::get_if<RequestEngineReport>(&action)) {
                 if (!m_engines[indexOf(ask->engine)].isDown) {
                     node.plan->onReport(ask->engine, reportOfEngine(m_engines[indexOf(ask->engine)]), m_now);
                 }
@@ -361,17 +361,17 @@
             return OrderAnswer::Done;
         }
         const bool isComing =
-            std::any_of(engine.coming.begin(), engine.coming.end(), [&name](const Load &load) { return load.adapter == name; });
+            std::any_of(engine.loading.begin(), engine.loading.end(), [&name](const Load &load) { return load.adapter == name; });
         if (isComing) {
             return OrderAnswer::Accepted;
         }
         const bool isAtHand = std::find(engine.atHand.begin(), engine.atHand.end(), name) != engine.atHand.end();
         const auto lateMs = static_cast<double>(m_figures.lateness.milliseconds());
         const auto fetchMs = static_cast<double>(m_figures.fetch.milliseconds());
-        engine.coming.push_back(Load { name, (isAtHand ? fetchMs / 10 : fetchMs) + lateMs, !isAtHand });
+        engine.loading.push_back(Load { name, (isAtHand ? fetchMs / 10 : fetchMs) + lateMs, !isAtHand });
         m_fetches += isAtHand ? 0 : 1;
         m_loadsAtHand += isAtHand ? 1 : 0;
-        m_crashes += static_cast<int>(engine.held.size() + engine.coming.size()) > m_figures.slots ? 1 : 0;
+        m_crashes += static_cast<int>(engine.held.size() + engine.loading.size()) > m_figures.slots ? 1 : 0;
         return OrderAnswer::Accepted;
     }
 
--- a/tests/platform/testrecords.cpp
+++ b/tests/platform/testrecords.cpp
@@ -172,7 +172,7 @@
     cr_assert(body.find("\"fence\":41") != std::string::npos && body.find("\"holder\":\"n\"") != std::string::npos);
     cr_assert(body.find("\"version\":3") != std::string::npos);
     const auto report = decodeReport(R"({"models":[{"name":"m","adapters":["a1@1"]}],"coming":["m/a2@1"],"running":2})");
-    cr_assert(report.value().coming[0].id == AdapterId("a2"));
+    cr_assert(report.value().loading[0].id == AdapterId("a2"));
     cr_assert_not(decodeReport(R"({"models":3})").isOk());
     cr_assert(decodeOrderAnswer(202) == OrderAnswer::Accepted && decodeOrderAnswer(500) == OrderAnswer::Refused);
 }
