--- a/coordination/fleetmessage.h
+++ b/coordination/fleetmessage.h
@@ -122,7 +122,7 @@
  * How long a node that speaks every @p interval counts as alive after its last message: while no three of its messages in a row are lost,
  * and a late one has come.
  */
-inline Duration silenceAllowed(Duration interval)
+inline Duration heartbeatTimeout(Duration interval)
 {
     constexpr int MessagesMissed = 3;
     constexpr Duration LateMessage { 300 };
--- a/coordination/orderlease.cpp
+++ b/coordination/orderlease.cpp
@@ -24,7 +24,7 @@
 {
     Time heardAt;
     /** It is alive while it was heard of within this. */
-    Duration silenceAllowed;
+    Duration heartbeatTimeout;
     ZoneId zone;
     double capacity = 0;
     bool isLeaving = false;
@@ -81,7 +81,7 @@
     }
     static bool isAlive(const Other &other, Time now)
     {
-        return !other.isSeed && now - other.heardAt <= other.silenceAllowed;
+        return !other.isSeed && now - other.heardAt <= other.heartbeatTimeout;
     }
     bool counts(const Other &other, Time now) const
     {
@@ -263,7 +263,7 @@
     d->others.erase(NodeId("seed " + message.peerAddress));
     Other &other = d->others[message.sender];
     other.heardAt = now;
-    other.silenceAllowed = std::max(d->limits.liveness, silenceAllowed(message.interval));
+    other.heartbeatTimeout = std::max(d->limits.liveness, heartbeatTimeout(message.interval));
     other.zone = message.zone;
     other.capacity = message.capacity;
     other.isLeaving = message.isLeaving;
--- a/main/entry/fleetlink.cpp
+++ b/main/entry/fleetlink.cpp
@@ -82,7 +82,7 @@
     }
     bool isAlive(const Peer &peer) const
     {
-        return now() - peer.heardAt <= peer.silenceAllowed;
+        return now() - peer.heardAt <= peer.heartbeatTimeout;
     }
     /** Shards of the engines that this node uses. */
     bool isInScope(EngineShard shard) const
@@ -393,7 +393,7 @@
     const bool isChanged = isNew || peer.isReady != message.isReady || peer.isLeaving != message.isLeaving;
     peer = Peer { message.sender, message.zone, message.scope, message.callerAddress, message.peerAddress, message.isReady,
         message.isLeaving, message.configVersion, now(), message.capacity, message.readRevision, message.isReadingStore,
-        silenceAllowed(std::max(scopeLimits.nearInterval, message.interval)) };
+        heartbeatTimeout(std::max(scopeLimits.nearInterval, message.interval)) };
     if (isChanged) {
         log.write(Important, "fleet", "peer", { { "peer", peer.id.value() }, { "ready", peer.isReady }, { "leaving", peer.isLeaving } });
     }
--- a/main/entry/fleetlink.h
+++ b/main/entry/fleetlink.h
@@ -48,7 +48,7 @@
     std::uint64_t readRevision = 0;
     bool isReadingStore = false;
     /** It counts as alive while it was heard of within this. */
-    Duration silenceAllowed;
+    Duration heartbeatTimeout;
 };
 
 /** What this node says of its reading of the store. */
