--- a/coordination/loadorder.cpp
+++ b/coordination/loadorder.cpp
@@ -39,9 +39,9 @@
 
 } // namespace
 
-struct LoadOrder::Private
+struct LoadQueue::Private
 {
-    LoadOrderLimits limits;
+    LoadQueueLimits limits;
     std::mt19937_64 random;
     absl::flat_hash_map<AdapterKey, Wanted> wanted;
     absl::btree_set<Ranked> order;
@@ -54,7 +54,7 @@
     Duration worthOfSharing(const AdapterDemand &demand) const;
 };
 
-void LoadOrder::Private::unlink(const AdapterKey &adapter, const Wanted &entry)
+void LoadQueue::Private::unlink(const AdapterKey &adapter, const Wanted &entry)
 {
     if (entry.wakeAt == Time()) {
         order.erase({ entry.demand.level, entry.rank, adapter });
@@ -63,14 +63,14 @@
     }
 }
 
-Time LoadOrder::Private::wakeTime(const AdapterKey &adapter, const AdapterDemand &demand) const
+Time LoadQueue::Private::wakeTime(const AdapterKey &adapter, const AdapterDemand &demand) const
 {
     Time wake;
     const auto failure = failures.find(adapter);
     if (failure != failures.end()) {
         wake = failure->second.nextTry;
     }
-    if (demand.level == QueueLevel::Patient && demand.waiting < limits.enoughSharers) {
+    if (demand.level == QueueLevel::Patient && demand.waiting < limits.targetSharers) {
         const double hold = static_cast<double>(demand.allowance.milliseconds()) * MaxHoldPart * limits.batchShare;
         wake = std::max(wake, demand.oldest + Duration(static_cast<std::int64_t>(hold)));
     }
@@ -79,7 +79,7 @@
 
 // How much longer an adapter counts as having waited for each further request that shares its load. Patient work can afford to let
 // adapters with more sharers go first, by a part of its allowance.
-Duration LoadOrder::Private::worthOfSharing(const AdapterDemand &demand) const
+Duration LoadQueue::Private::worthOfSharing(const AdapterDemand &demand) const
 {
     if (demand.level != QueueLevel::Patient) {
         return limits.perWaiting;
@@ -88,7 +88,7 @@
     return std::max(limits.perWaiting, Duration(static_cast<std::int64_t>(worth)));
 }
 
-void LoadOrder::Private::link(const AdapterKey &adapter, Wanted &entry, Time now)
+void LoadQueue::Private::link(const AdapterKey &adapter, Wanted &entry, Time now)
 {
     const Time wake = wakeTime(adapter, entry.demand);
     if (wake > now) {
@@ -101,18 +101,18 @@
     order.insert({ entry.demand.level, entry.rank, adapter });
 }
 
-LoadOrder::LoadOrder(LoadOrderLimits limits, std::uint64_t seed)
+LoadQueue::LoadQueue(LoadQueueLimits limits, std::uint64_t seed)
     : d(std::make_unique<Private>())
 {
     d->limits = limits;
     d->random.seed(seed);
 }
 
-LoadOrder::~LoadOrder() = default;
-LoadOrder::LoadOrder(LoadOrder &&) noexcept = default;
-LoadOrder &LoadOrder::operator=(LoadOrder &&) noexcept = default;
+LoadQueue::~LoadQueue() = default;
+LoadQueue::LoadQueue(LoadQueue &&) noexcept = default;
+LoadQueue &LoadQueue::operator=(LoadQueue &&) noexcept = default;
 
-void LoadOrder::update(const AdapterKey &adapter, const AdapterDemand &demand, Time now)
+void LoadQueue::update(const AdapterKey &adapter, const AdapterDemand &demand, Time now)
 {
     if (demand.waiting == 0) {
         remove(adapter);
@@ -126,7 +126,7 @@
     d->link(adapter, at->second, now);
 }
 
-void LoadOrder::remove(const AdapterKey &adapter)
+void LoadQueue::remove(const AdapterKey &adapter)
 {
     const auto at = d->wanted.find(adapter);
     if (at != d->wanted.end()) {
@@ -135,7 +135,7 @@
     }
 }
 
-void LoadOrder::wake(Time now)
+void LoadQueue::wake(Time now)
 {
     while (!d->sleeping.empty() && d->sleeping.begin()->first <= now) {
         const AdapterKey adapter = d->sleeping.begin()->second;
@@ -145,7 +145,7 @@
     }
 }
 
-std::vector<AdapterKey> LoadOrder::first(int count) const
+std::vector<AdapterKey> LoadQueue::first(int count) const
 {
     std::vector<AdapterKey> adapters;
     for (const auto &[level, rank, adapter] : d->order) {
@@ -157,7 +157,7 @@
     return adapters;
 }
 
-std::optional<Time> LoadOrder::headOfLine(QueueLevel level) const
+std::optional<Time> LoadQueue::headOfLine(QueueLevel level) const
 {
     const auto at = d->order.lower_bound(Ranked { level, Time(INT64_MIN), AdapterKey {} });
     if (at == d->order.end() || std::get<QueueLevel>(*at) != level) {
@@ -166,18 +166,18 @@
     return d->wanted.at(std::get<AdapterKey>(*at)).demand.oldest;
 }
 
-std::optional<AdapterDemand> LoadOrder::demand(const AdapterKey &adapter) const
+std::optional<AdapterDemand> LoadQueue::demand(const AdapterKey &adapter) const
 {
     const auto at = d->wanted.find(adapter);
     return at == d->wanted.end() ? std::nullopt : std::optional(at->second.demand);
 }
 
-bool LoadOrder::isEmpty() const
+bool LoadQueue::isEmpty() const
 {
     return d->order.empty();
 }
 
-std::optional<Time> LoadOrder::failed(const AdapterKey &adapter, Time now)
+std::optional<Time> LoadQueue::onLoadFailed(const AdapterKey &adapter, Time now)
 {
     absl::erase_if(d->failures, [&](const auto &entry) { return now - entry.second.last > FailureMemory; });
     Failure &failure = d->failures[adapter];
@@ -195,12 +195,12 @@
     return failure.tries >= d->limits.maxTries ? std::nullopt : std::optional(failure.nextTry);
 }
 
-void LoadOrder::succeeded(const AdapterKey &adapter)
+void LoadQueue::onLoadSucceeded(const AdapterKey &adapter)
 {
     d->failures.erase(adapter);
 }
 
-Duration LoadOrder::backoffLeft(const AdapterKey &adapter, Time now) const
+Duration LoadQueue::remainingBackoff(const AdapterKey &adapter, Time now) const
 {
     const auto at = d->failures.find(adapter);
     return at == d->failures.end() || at->second.nextTry <= now ? Duration() : at->second.nextTry - now;
--- a/coordination/loadorder.h
+++ b/coordination/loadorder.h
@@ -21,27 +21,27 @@
 namespace ApricotStep
 {
 
-struct LoadOrderLimits
+struct LoadQueueLimits
 {
     /** How much each further waiting request counts, as time that the first one would have waited. */
     Duration perWaiting { 500 };
     /** Weight of full batches against short stalls, 0 to 1: how long a load for patient work waits for more requests to share it. */
     double batchShare = 0.5;
     /** A load for patient work waits no longer once this many requests share it. */
-    int enoughSharers = 4;
+    int targetSharers = 4;
     Duration firstBackoff { 500 };
     Duration maxBackoff { 16'000 };
     int maxTries = 6;
 };
 
 /** The adapters of one engine that requests wait for and that are not loaded. Not thread-safe. */
-class LoadOrder
+class LoadQueue
 {
 public:
-    LoadOrder(LoadOrderLimits limits, std::uint64_t seed);
-    ~LoadOrder();
-    LoadOrder(LoadOrder &&) noexcept;
-    LoadOrder &operator=(LoadOrder &&) noexcept;
+    LoadQueue(LoadQueueLimits limits, std::uint64_t seed);
+    ~LoadQueue();
+    LoadQueue(LoadQueue &&) noexcept;
+    LoadQueue &operator=(LoadQueue &&) noexcept;
 
     /** What waits for @p adapter now; nothing when demand.waiting is 0. */
     void update(const AdapterKey &adapter, const AdapterDemand &demand, Time now);
@@ -57,10 +57,10 @@
     bool isEmpty() const;
 
     /** A load failed. The time of the next try; empty when there have been too many: the adapter is then taken for broken. */
-    std::optional<Time> failed(const AdapterKey &adapter, Time now);
-    void succeeded(const AdapterKey &adapter);
+    std::optional<Time> onLoadFailed(const AdapterKey &adapter, Time now);
+    void onLoadSucceeded(const AdapterKey &adapter);
     /** How long until @p adapter may be tried again; zero when it is not backing off. */
-    Duration backoffLeft(const AdapterKey &adapter, Time now) const;
+    Duration remainingBackoff(const AdapterKey &adapter, Time now) const;
 
 private:
     struct Private;
--- a/coordination/upstreamscheduler.cpp
+++ b/coordination/upstreamscheduler.cpp
@@ -83,11 +83,11 @@
     return sum <= 0 ? 0.0 : static_cast<double>(limits.batchWeight) / sum;
 }
 
-LoadOrderLimits orderLimits(const SchedulerLimits &limits)
+LoadQueueLimits orderLimits(const SchedulerLimits &limits)
 {
-    LoadOrderLimits order;
+    LoadQueueLimits order;
     order.batchShare = batchShareOf(limits);
-    order.enoughSharers = std::max(2, limits.batch / 4);
+    order.targetSharers = std::max(2, limits.batch / 4);
     return order;
 }
 
@@ -109,7 +109,7 @@
     SchedulerLimits limits;
     Residency residency;
     WorkQueue queue;
-    LoadOrder order;
+    LoadQueue order;
     absl::flat_hash_map<RequestId, Running> running;
     // Seats taken by requests of the engine's present start; those of an earlier one hold no seat there.
     int seats = 0;
@@ -195,7 +195,7 @@
     const auto present = order.demand(adapter);
     // The load is under way or has its place already; this request only joins it.
     if (state == SlotState::Loading || (present.has_value() && present->level <= level)) {
-        return std::max(limits.loadTime, order.backoffLeft(adapter, now));
+        return std::max(limits.loadTime, order.remainingBackoff(adapter, now));
     }
     // Loads of a level go about in the order of arrival, over the whole fleet, so the wait of the one that is next, and of the one that
     // went last, tell that of the next to come, and the giver of permits says what it sees. A count of those ahead would not: it knows this
@@ -211,7 +211,7 @@
     if (now - permitWaitAt[index] < LoadWaitMemory) {
         wait = std::max(wait, permitWait[index]);
     }
-    return std::max(wait + limits.loadTime, order.backoffLeft(adapter, now));
+    return std::max(wait + limits.loadTime, order.remainingBackoff(adapter, now));
 }
 
 // How long a request that arrives now would wait for its first token, by what is ahead of it and how fast that went lately.
@@ -313,14 +313,14 @@
     const OrderOutcome outcome = outcomeOf(event.isLoaded, event.isUnknown);
     residency.endLoad(event.adapter, outcome, now);
     if (outcome == OrderOutcome::Done) {
-        order.succeeded(event.adapter);
+        order.onLoadSucceeded(event.adapter);
         refreshAdapter(event.adapter, now);
         return;
     }
     // What could still be served by another try keeps its place; the rest learns now that it was not run.
-    const auto nextTry = order.failed(event.adapter, now);
+    const auto nextTry = order.onLoadFailed(event.adapter, now);
     const Time hopeless = nextTry.has_value() ? *nextTry + limits.loadTime : Time::never();
-    refuseAll(queue.takeAdapter(event.adapter, hopeless), ErrorKind::AdapterLoadFailed, order.backoffLeft(event.adapter, now));
+    refuseAll(queue.takeAdapter(event.adapter, hopeless), ErrorKind::AdapterLoadFailed, order.remainingBackoff(event.adapter, now));
     refreshAdapter(event.adapter, now);
 }
 
@@ -549,7 +549,7 @@
     // The same question as prefetch() asks: a permit that cannot be used would be returned and asked for again without an end.
     const bool hasRoom = residency.freeSlots() > 0 || residency.evictingCount() > 0
         || residency.evictionVictim(false, now, score - PrefetchAdvantage).has_value();
-    const bool isTried = order.backoffLeft(*target, now) > Duration();
+    const bool isTried = order.remainingBackoff(*target, now) > Duration();
     return uses >= PrefetchUses && hasRoom && !isTried ? target : std::nullopt;
 }
 
