--- a/bench/decisions/run.cpp
+++ b/bench/decisions/run.cpp
@@ -111,7 +111,7 @@
     RunOptions m_options;
     EventLoop m_loop;
     WeightStore m_store;
-    PermitGiver m_giver;
+    PermitIssuer m_giver;
     std::vector<std::unique_ptr<FakeEngine>> m_engines;
     std::vector<EngineScheduler> m_schedulers;
     std::unique_ptr<Placement> m_placement;
@@ -270,7 +270,7 @@
 void Run::carryOut(int engine, const ReturnPermit &action)
 {
     m_loop.after(MessageDelay, [this, engine, action] {
-        m_giver.giveBack({ permitName(engine, action.adapter), action.end }, timeAt(m_loop.now()));
+        m_giver.release({ permitName(engine, action.adapter), action.end }, timeAt(m_loop.now()));
         sendGrants();
     });
 }
@@ -279,7 +279,7 @@
 {
     for (const PermitGrant &grant : m_giver.grant(timeAt(m_loop.now()))) {
         m_loop.after(MessageDelay, [this, grant] {
-            handle(std::stoi(grant.name.upstream.value()), PermitGranted { grant.name.adapter, timeAt(m_loop.now()) + grant.life });
+            handle(std::stoi(grant.name.upstream.value()), PermitGranted { grant.name.adapter, timeAt(m_loop.now()) + grant.lifetime });
         });
     }
 }
--- a/coordination/loadpermits.cpp
+++ b/coordination/loadpermits.cpp
@@ -40,7 +40,7 @@
 
 } // namespace
 
-NodeId permitGiverOf(const std::vector<NodeId> &live)
+NodeId permitIssuerOf(const std::vector<NodeId> &live)
 {
     NodeId best;
     double bestScore = 0;
@@ -54,7 +54,7 @@
     return best;
 }
 
-struct PermitGiver::Private
+struct PermitIssuer::Private
 {
     LoadBudget budget;
     double share = 1.0;
@@ -72,14 +72,14 @@
     int parallel() const;
 };
 
-void PermitGiver::Private::save(Time now)
+void PermitIssuer::Private::save(Time now)
 {
     const double earned = (now - savedAt).toSeconds() * budget.ratePerSecond * share;
     saved = std::min(MaxSaved, saved + std::max(0.0, earned));
     savedAt = now;
 }
 
-void PermitGiver::Private::forget(const PermitName &name)
+void PermitIssuer::Private::forget(const PermitName &name)
 {
     const auto at = waiting.find(name);
     if (at != waiting.end()) {
@@ -89,7 +89,7 @@
     }
 }
 
-void PermitGiver::Private::dropStale(Time now)
+void PermitIssuer::Private::dropStale(Time now)
 {
     while (!order.empty()) {
         const PermitName &first = std::get<PermitName>(*order.begin());
@@ -103,28 +103,28 @@
     }
 }
 
-int PermitGiver::Private::parallel() const
+int PermitIssuer::Private::parallel() const
 {
     return std::max(1, static_cast<int>(budget.parallel * share));
 }
 
-PermitGiver::PermitGiver(LoadBudget budget)
+PermitIssuer::PermitIssuer(LoadBudget budget)
     : d(std::make_unique<Private>())
 {
     d->budget = budget;
 }
 
-PermitGiver::~PermitGiver() = default;
-PermitGiver::PermitGiver(PermitGiver &&) noexcept = default;
-PermitGiver &PermitGiver::operator=(PermitGiver &&) noexcept = default;
+PermitIssuer::~PermitIssuer() = default;
+PermitIssuer::PermitIssuer(PermitIssuer &&) noexcept = default;
+PermitIssuer &PermitIssuer::operator=(PermitIssuer &&) noexcept = default;
 
-void PermitGiver::setShare(double share, Time now)
+void PermitIssuer::setShare(double share, Time now)
 {
     d->save(now);
     d->share = std::clamp(share, 0.0, 1.0);
 }
 
-void PermitGiver::request(const PermitRequest &request, Time now)
+void PermitIssuer::request(const PermitRequest &request, Time now)
 {
     if (d->inFlight.contains(request.name)) {
         return;
@@ -137,7 +137,7 @@
     d->waiting[request.name] = { place, now };
 }
 
-void PermitGiver::giveBack(const PermitReturn &returned, Time now)
+void PermitIssuer::release(const PermitRelease &returned, Time now)
 {
     d->save(now);
     // A withdrawal may cross the grant: the permit is then still out, and comes back as unused in its own time.
@@ -151,7 +151,7 @@
     }
 }
 
-std::vector<PermitGrant> PermitGiver::grant(Time now)
+std::vector<PermitGrant> PermitIssuer::grant(Time now)
 {
     d->save(now);
     d->dropStale(now);
@@ -167,7 +167,7 @@
     return grants;
 }
 
-Duration PermitGiver::expectedWait(const std::optional<Priority> &urgency) const
+Duration PermitIssuer::expectedWait(const std::optional<Priority> &urgency) const
 {
     int before = 0;
     for (int rank = 0; rank <= rankOf(urgency); ++rank) {
@@ -177,17 +177,17 @@
     return Duration(static_cast<std::int64_t>(before / rate * 1000.0));
 }
 
-int PermitGiver::waitingCount() const
+int PermitIssuer::waitingCount() const
 {
     return static_cast<int>(d->waiting.size());
 }
 
-int PermitGiver::inFlightCount() const
+int PermitIssuer::inFlightCount() const
 {
     return static_cast<int>(d->inFlight.size());
 }
 
-struct PermitAsker::Private
+struct PermitClient::Private
 {
     Private(NodeId aSelf, const LoadBudget &aBudget)
         : self(std::move(aSelf))
@@ -205,61 +205,61 @@
     NodeId self;
     LoadBudget budget;
     // Takes the giver's place while none answers.
-    PermitGiver ownPart;
-    NodeId giver;
+    PermitIssuer ownPart;
+    NodeId issuer;
     Time giverAbsentUntil;
     absl::btree_map<PermitName, Pending> pending;
 
     bool hasGiver(Time now) const
     {
-        return !giver.isEmpty() && now >= giverAbsentUntil;
+        return !issuer.isEmpty() && now >= giverAbsentUntil;
     }
     void send(const Pending &what, Time now, std::vector<PermitAction> &actions);
     void takeOwnGrants(Time now, std::vector<PermitAction> &actions);
 };
 
-void PermitAsker::Private::send(const Pending &what, Time now, std::vector<PermitAction> &actions)
+void PermitClient::Private::send(const Pending &what, Time now, std::vector<PermitAction> &actions)
 {
     PermitRequest request = what.request;
     request.waited = request.waited + (now - what.askedAt);
     if (hasGiver(now)) {
-        actions.emplace_back(SendToGiver { giver, request });
+        actions.emplace_back(SendToIssuer { issuer, request });
     } else {
         ownPart.request(request, now);
     }
 }
 
-void PermitAsker::Private::takeOwnGrants(Time now, std::vector<PermitAction> &actions)
+void PermitClient::Private::takeOwnGrants(Time now, std::vector<PermitAction> &actions)
 {
     if (hasGiver(now)) {
         return;
     }
     for (const PermitGrant &grant : ownPart.grant(now)) {
         pending.erase(grant.name);
-        actions.emplace_back(PermitArrived { grant.name.upstream, grant.name.adapter, now + grant.life });
+        actions.emplace_back(PermitReceived { grant.name.upstream, grant.name.adapter, now + grant.lifetime });
     }
 }
 
-PermitAsker::PermitAsker(NodeId self, LoadBudget budget)
+PermitClient::PermitClient(NodeId self, LoadBudget budget)
     : d(std::make_unique<Private>(std::move(self), budget))
 {
 }
 
-PermitAsker::~PermitAsker() = default;
-PermitAsker::PermitAsker(PermitAsker &&) noexcept = default;
-PermitAsker &PermitAsker::operator=(PermitAsker &&) noexcept = default;
+PermitClient::~PermitClient() = default;
+PermitClient::PermitClient(PermitClient &&) noexcept = default;
+PermitClient &PermitClient::operator=(PermitClient &&) noexcept = default;
 
-void PermitAsker::setFleet(const std::vector<NodeId> &live, int listed, Time now)
+void PermitClient::setFleet(const std::vector<NodeId> &live, int listed, Time now)
 {
-    const NodeId next = permitGiverOf(live);
-    if (next != d->giver) {
-        d->giver = next;
+    const NodeId next = permitIssuerOf(live);
+    if (next != d->issuer) {
+        d->issuer = next;
         d->giverAbsentUntil = Time();
     }
     d->ownPart.setShare(1.0 / std::max({ 1, listed, static_cast<int>(live.size()) }), now);
 }
 
-std::vector<PermitAction> PermitAsker::ask(const PermitRequest &request, Time now)
+std::vector<PermitAction> PermitClient::requestPermit(const PermitRequest &request, Time now)
 {
     std::vector<PermitAction> actions;
     Private::Pending &pending = d->pending[request.name];
@@ -269,33 +269,33 @@
     return actions;
 }
 
-std::vector<PermitAction> PermitAsker::giveBack(const PermitReturn &returned, Time now)
+std::vector<PermitAction> PermitClient::release(const PermitRelease &returned, Time now)
 {
     std::vector<PermitAction> actions;
     d->pending.erase(returned.name);
-    d->ownPart.giveBack(returned, now);
+    d->ownPart.release(returned, now);
     if (d->hasGiver(now)) {
-        actions.emplace_back(SendToGiver { d->giver, returned });
+        actions.emplace_back(SendToIssuer { d->issuer, returned });
     }
     d->takeOwnGrants(now, actions);
     return actions;
 }
 
-std::vector<PermitAction> PermitAsker::granted(const PermitGrant &grant, Time now)
+std::vector<PermitAction> PermitClient::granted(const PermitGrant &grant, Time now)
 {
     // A permit that nobody waits for any more goes back at once, or the store idles for its life.
     if (d->pending.erase(grant.name) == 0) {
-        return giveBack({ grant.name, PermitEnd::Unused }, now);
+        return release({ grant.name, PermitEnd::Unused }, now);
     }
-    return { PermitArrived { grant.name.upstream, grant.name.adapter, now + grant.life } };
+    return { PermitReceived { grant.name.upstream, grant.name.adapter, now + grant.lifetime } };
 }
 
-void PermitAsker::giverAnswered(bool isReached, Time now)
+void PermitClient::onIssuerReply(bool isReached, Time now)
 {
     d->giverAbsentUntil = isReached ? Time() : now + GiverRetryDelay;
 }
 
-std::vector<PermitAction> PermitAsker::tick(Time now)
+std::vector<PermitAction> PermitClient::tick(Time now)
 {
     std::vector<PermitAction> actions;
     for (auto &[name, pending] : d->pending) {
@@ -309,9 +309,9 @@
     return actions;
 }
 
-const NodeId &PermitAsker::giver() const
+const NodeId &PermitClient::issuer() const
 {
-    return d->giver;
+    return d->issuer;
 }
 
 } // namespace ApricotStep
--- a/coordination/loadpermits.h
+++ b/coordination/loadpermits.h
@@ -58,38 +58,38 @@
 struct PermitGrant
 {
     PermitName name;
-    Duration life;
+    Duration lifetime;
 };
 /** The answer to a request: how long one that is asked for now at this urgency will wait, as the giver sees the whole fleet. */
-struct PermitOutlook
+struct PermitWaitEstimate
 {
     PermitName name;
     std::optional<Priority> urgency;
     Duration wait;
 };
 /** The load ended, or the request or permit is no longer needed. */
-struct PermitReturn
+struct PermitRelease
 {
     PermitName name;
     PermitEnd end = PermitEnd::Used;
 };
 
 /** The node that hands out permits: the same at all nodes that see the same live ones; empty when there are none. */
-NodeId permitGiverOf(const std::vector<NodeId> &live);
+NodeId permitIssuerOf(const std::vector<NodeId> &live);
 
 /** Hands out the budget, most urgent first. Not thread-safe. */
-class PermitGiver
+class PermitIssuer
 {
 public:
-    explicit PermitGiver(LoadBudget budget);
-    ~PermitGiver();
-    PermitGiver(PermitGiver &&) noexcept;
-    PermitGiver &operator=(PermitGiver &&) noexcept;
+    explicit PermitIssuer(LoadBudget budget);
+    ~PermitIssuer();
+    PermitIssuer(PermitIssuer &&) noexcept;
+    PermitIssuer &operator=(PermitIssuer &&) noexcept;
 
     /** The part of the budget that is this giver's, 0 to 1: the share of the listed nodes that it can reach. */
     void setShare(double share, Time now);
     void request(const PermitRequest &request, Time now);
-    void giveBack(const PermitReturn &returned, Time now);
+    void release(const PermitRelease &returned, Time now);
     /** The permits that may be given now; call it after each message and every 20 to 100 ms. */
     std::vector<PermitGrant> grant(Time now);
 
@@ -105,42 +105,42 @@
 };
 
 /** Sends this message to the giver. */
-struct SendToGiver
+struct SendToIssuer
 {
-    NodeId giver;
-    std::variant<PermitRequest, PermitReturn> message;
+    NodeId issuer;
+    std::variant<PermitRequest, PermitRelease> message;
 };
 /** An engine of this node may load, until the expiry. */
-struct PermitArrived
+struct PermitReceived
 {
     UpstreamId upstream;
     AdapterKey adapter;
     Time expiry;
 };
-using PermitAction = std::variant<SendToGiver, PermitArrived>;
+using PermitAction = std::variant<SendToIssuer, PermitReceived>;
 
 /**
  * The side of a node that needs permits. While there is no giver that answers, it goes by an even part of the budget, budget / nodes.
  * Not thread-safe.
  */
-class PermitAsker
+class PermitClient
 {
 public:
-    PermitAsker(NodeId self, LoadBudget budget);
-    ~PermitAsker();
-    PermitAsker(PermitAsker &&) noexcept;
-    PermitAsker &operator=(PermitAsker &&) noexcept;
+    PermitClient(NodeId self, LoadBudget budget);
+    ~PermitClient();
+    PermitClient(PermitClient &&) noexcept;
+    PermitClient &operator=(PermitClient &&) noexcept;
 
     /** Nodes that live, and how many the VM list has; a node of its own giving asks itself through the same messages. */
     void setFleet(const std::vector<NodeId> &live, int listed, Time now);
-    std::vector<PermitAction> ask(const PermitRequest &request, Time now);
-    std::vector<PermitAction> giveBack(const PermitReturn &returned, Time now);
+    std::vector<PermitAction> requestPermit(const PermitRequest &request, Time now);
+    std::vector<PermitAction> release(const PermitRelease &returned, Time now);
     std::vector<PermitAction> granted(const PermitGrant &grant, Time now);
     /** A message to the giver was taken by it, or could not be brought to it. */
-    void giverAnswered(bool isReached, Time now);
+    void onIssuerReply(bool isReached, Time now);
     std::vector<PermitAction> tick(Time now);
 
-    const NodeId &giver() const;
+    const NodeId &issuer() const;
 
 private:
     struct Private;
--- a/main/enginerunner.cpp
+++ b/main/enginerunner.cpp
@@ -100,7 +100,7 @@
 
     void watchOwnership();
     void releaseHeld();
-    void giveBack(RequestId id, ErrorKind kind);
+    void release(RequestId id, ErrorKind kind);
     void finishEvict(const AdapterKey &adapter, const OrderResult &result);
     void handle(const SchedulerEvent &event);
     void carryOut(const AskPermit &action);
@@ -178,14 +178,14 @@
 void EngineRunner::Private::carryOut(const AskPermit &action)
 {
     if (parts.permits != nullptr) {
-        parts.permits->ask(spec.id, action);
+        parts.permits->requestPermit(spec.id, action);
     }
 }
 
 void EngineRunner::Private::carryOut(const ReturnPermit &action)
 {
     if (parts.permits != nullptr) {
-        parts.permits->giveBack(spec.id, action);
+        parts.permits->release(spec.id, action);
     }
 }
 
@@ -277,7 +277,7 @@
         if (job == nullptr || guard->mayDispatch()) {
             startDispatch(id);
         } else if (isLost || now >= job->what.work.deadline) {
-            giveBack(id, isLost ? kind : ErrorKind::DeadlinePassed);
+            release(id, isLost ? kind : ErrorKind::DeadlinePassed);
         } else {
             held.addDispatch(id);
         }
@@ -296,7 +296,7 @@
     }
 }
 
-void EngineRunner::Private::giveBack(RequestId id, ErrorKind kind)
+void EngineRunner::Private::release(RequestId id, ErrorKind kind)
 {
     const EngineJobPointer job = jobs.find(id);
     const bool isTaken = job != nullptr && jobs.takeWaiting(id);
--- a/main/permitrunner.cpp
+++ b/main/permitrunner.cpp
@@ -52,8 +52,8 @@
         , clock(aClock)
         , fleet(fleets)
         , peers(allPeers)
-        , asker(self, budgetOf(settings))
-        , giver(budgetOf(settings))
+        , client(self, budgetOf(settings))
+        , issuer(budgetOf(settings))
     {
     }
 
@@ -63,8 +63,8 @@
     Peers &peers;
     Handler handler;
     absl::Mutex mutex;
-    PermitAsker asker ABSL_GUARDED_BY(mutex);
-    PermitGiver giver ABSL_GUARDED_BY(mutex);
+    PermitClient client ABSL_GUARDED_BY(mutex);
+    PermitIssuer issuer ABSL_GUARDED_BY(mutex);
     std::shared_ptr<const FleetView> view ABSL_GUARDED_BY(mutex);
     int listed ABSL_GUARDED_BY(mutex) = 0;
     bool isFleetDue ABSL_GUARDED_BY(mutex) = true;
@@ -75,10 +75,10 @@
     void collect(const std::vector<PermitAction> &actions, Time now, Errands &errands) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
     void giveOut(Time now, Errands &errands) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
     std::string answerTo(const PermitMessage &message, Time now, Errands &errands) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-    PermitOutlook outlookFor(const PermitRequest &request) const ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+    PermitWaitEstimate outlookFor(const PermitRequest &request) const ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
     void carryOut(Errands errands);
     void told(const Errand &errand, const Result<std::string> &answer);
-    void tellEngine(const PermitOutlook &outlook);
+    void tellEngine(const PermitWaitEstimate &outlook);
 };
 
 void PermitRunner::Private::takeInFleet(Time now)
@@ -93,9 +93,9 @@
     for (const NodeView &node : view->nodes) {
         live.push_back(node.id);
     }
-    asker.setFleet(live, listed, now);
+    client.setFleet(live, listed, now);
     const auto reached = static_cast<double>(live.size());
-    giver.setShare(listed > 0 ? reached / std::max<double>(listed, reached) : 1.0, now);
+    issuer.setShare(listed > 0 ? reached / std::max<double>(listed, reached) : 1.0, now);
 }
 
 void PermitRunner::Private::send(const NodeId &to, PermitMessage message, Errands &errands)
@@ -107,19 +107,19 @@
 void PermitRunner::Private::collect(const std::vector<PermitAction> &actions, Time now, Errands &errands)
 {
     for (const PermitAction &action : actions) {
-        if (const auto *arrived = std::get_if<PermitArrived>(&action)) {
+        if (const auto *arrived = std::get_if<PermitReceived>(&action)) {
             errands.answers.push_back({ arrived->upstream, PermitGranted { arrived->adapter, arrived->expiry } });
             continue;
         }
-        const auto &out = std::get<SendToGiver>(action);
+        const auto &out = std::get<SendToIssuer>(action);
         PermitMessage message = std::visit([](const auto &what) -> PermitMessage { return what; }, out.message);
-        if (out.giver != self) {
-            send(out.giver, std::move(message), errands);
+        if (out.issuer != self) {
+            send(out.issuer, std::move(message), errands);
             continue;
         }
         answerTo(message, now, errands);
         if (const auto *request = std::get_if<PermitRequest>(&message); request != nullptr && request->urgency.has_value()) {
-            const PermitOutlook outlook = outlookFor(*request);
+            const PermitWaitEstimate outlook = outlookFor(*request);
             errands.answers.push_back({ outlook.name.upstream, PermitExpected { *outlook.urgency, outlook.wait } });
         }
     }
@@ -127,31 +127,31 @@
 
 void PermitRunner::Private::giveOut(Time now, Errands &errands)
 {
-    for (const PermitGrant &grant : giver.grant(now)) {
+    for (const PermitGrant &grant : issuer.grant(now)) {
         if (grant.name.node == self) {
-            collect(asker.granted(grant, now), now, errands);
+            collect(client.granted(grant, now), now, errands);
         } else {
             send(grant.name.node, grant, errands);
         }
     }
 }
 
-PermitOutlook PermitRunner::Private::outlookFor(const PermitRequest &request) const
+PermitWaitEstimate PermitRunner::Private::outlookFor(const PermitRequest &request) const
 {
-    return { request.name, request.urgency, giver.expectedWait(request.urgency) };
+    return { request.name, request.urgency, issuer.expectedWait(request.urgency) };
 }
 
 // Empty where there is nothing to say.
 std::string PermitRunner::Private::answerTo(const PermitMessage &message, Time now, Errands &errands)
 {
     if (const auto *request = std::get_if<PermitRequest>(&message)) {
-        giver.request(*request, now);
+        issuer.request(*request, now);
         return request->name.node == self ? std::string() : encodePermitMessage(outlookFor(*request));
     }
-    if (const auto *returned = std::get_if<PermitReturn>(&message)) {
-        giver.giveBack(*returned, now);
+    if (const auto *returned = std::get_if<PermitRelease>(&message)) {
+        issuer.release(*returned, now);
     } else if (const auto *grant = std::get_if<PermitGrant>(&message)) {
-        collect(asker.granted(*grant, now), now, errands);
+        collect(client.granted(*grant, now), now, errands);
     }
     return {};
 }
@@ -191,8 +191,8 @@
             return;
         }
         // A grant that did not arrive lapses by itself; only the giver's silence changes what this node does.
-        if (!std::holds_alternative<PermitGrant>(errand.message) && errand.to == asker.giver()) {
-            asker.giverAnswered(answer.isOk(), clock.now());
+        if (!std::holds_alternative<PermitGrant>(errand.message) && errand.to == client.issuer()) {
+            client.onIssuerReply(answer.isOk(), clock.now());
         }
     }
     if (!answer.isOk()) {
@@ -200,12 +200,12 @@
         return;
     }
     const auto message = decodePermitMessage(answer.value());
-    if (message.isOk() && std::holds_alternative<PermitOutlook>(message.value())) {
-        tellEngine(std::get<PermitOutlook>(message.value()));
+    if (message.isOk() && std::holds_alternative<PermitWaitEstimate>(message.value())) {
+        tellEngine(std::get<PermitWaitEstimate>(message.value()));
     }
 }
 
-void PermitRunner::Private::tellEngine(const PermitOutlook &outlook)
+void PermitRunner::Private::tellEngine(const PermitWaitEstimate &outlook)
 {
     if (outlook.urgency.has_value()) {
         handler(outlook.name.upstream, PermitExpected { *outlook.urgency, outlook.wait });
@@ -227,26 +227,26 @@
     d->handler = std::move(handler);
 }
 
-void PermitRunner::ask(const UpstreamId &upstream, const AskPermit &wish)
+void PermitRunner::requestPermit(const UpstreamId &upstream, const AskPermit &wish)
 {
     Errands errands;
     {
         const absl::MutexLock lock(&d->mutex);
         const Time now = d->clock.now();
         const PermitRequest request { { d->self, upstream, wish.adapter }, wish.urgency, wish.waiting, wish.waited };
-        d->collect(d->asker.ask(request, now), now, errands);
+        d->collect(d->client.requestPermit(request, now), now, errands);
         d->giveOut(now, errands);
     }
     d->carryOut(std::move(errands));
 }
 
-void PermitRunner::giveBack(const UpstreamId &upstream, const ReturnPermit &returned)
+void PermitRunner::release(const UpstreamId &upstream, const ReturnPermit &returned)
 {
     Errands errands;
     {
         const absl::MutexLock lock(&d->mutex);
         const Time now = d->clock.now();
-        d->collect(d->asker.giveBack({ { d->self, upstream, returned.adapter }, returned.end }, now), now, errands);
+        d->collect(d->client.release({ { d->self, upstream, returned.adapter }, returned.end }, now), now, errands);
         d->giveOut(now, errands);
     }
     d->carryOut(std::move(errands));
@@ -284,7 +284,7 @@
         const absl::MutexLock lock(&d->mutex);
         const Time now = d->clock.now();
         d->takeInFleet(now);
-        d->collect(d->asker.tick(now), now, errands);
+        d->collect(d->client.tick(now), now, errands);
         d->giveOut(now, errands);
     }
     d->carryOut(std::move(errands));
--- a/main/permitrunner.h
+++ b/main/permitrunner.h
@@ -34,10 +34,10 @@
     PermitRunner(const NodeId &self, const Settings &settings, const Clock &clock, Published<FleetView> &fleet, Peers &peers);
     ~PermitRunner();
 
-    /** Only before the first ask(). */
+    /** Only before the first requestPermit(). */
     void onAnswer(Handler handler);
-    void ask(const UpstreamId &upstream, const AskPermit &wish);
-    void giveBack(const UpstreamId &upstream, const ReturnPermit &returned);
+    void requestPermit(const UpstreamId &upstream, const AskPermit &wish);
+    void release(const UpstreamId &upstream, const ReturnPermit &returned);
     /** A message of another node; gives the answer for it. Errors: BadRequest. */
     Result<std::string> take(const std::string &message);
     /** How many nodes the VM list names. */
--- a/protocol/permitcodec.cpp
+++ b/protocol/permitcodec.cpp
@@ -59,7 +59,7 @@
     writeDuration(writer, request.waited);
 }
 
-void writeMessage(ByteWriter &writer, const PermitReturn &returned)
+void writeMessage(ByteWriter &writer, const PermitRelease &returned)
 {
     writeName(writer, returned.name);
     writer.number(static_cast<std::uint8_t>(returned.end));
@@ -68,10 +68,10 @@
 void writeMessage(ByteWriter &writer, const PermitGrant &grant)
 {
     writeName(writer, grant.name);
-    writeDuration(writer, grant.life);
+    writeDuration(writer, grant.lifetime);
 }
 
-void writeMessage(ByteWriter &writer, const PermitOutlook &outlook)
+void writeMessage(ByteWriter &writer, const PermitWaitEstimate &outlook)
 {
     writeName(writer, outlook.name);
     writeUrgency(writer, outlook.urgency);
@@ -98,14 +98,14 @@
         PermitName name = readName(reader);
         const auto end = reader.number<std::uint8_t>();
         isKnown = isKnown && end <= static_cast<std::uint8_t>(PermitEnd::Withdrawn);
-        return PermitReturn { std::move(name), static_cast<PermitEnd>(end) };
+        return PermitRelease { std::move(name), static_cast<PermitEnd>(end) };
     }
     case 2: {
         PermitName name = readName(reader);
         return PermitGrant { std::move(name), readDuration(reader) };
     }
     case 3: {
-        PermitOutlook outlook;
+        PermitWaitEstimate outlook;
         outlook.name = readName(reader);
         outlook.urgency = readUrgency(reader, isKnown);
         outlook.wait = readDuration(reader);
@@ -113,7 +113,7 @@
     }
     default:
         isKnown = false;
-        return PermitReturn {};
+        return PermitRelease {};
     }
 }
 
--- a/protocol/permitcodec.h
+++ b/protocol/permitcodec.h
@@ -11,7 +11,7 @@
 {
 
 /** What nodes tell each other about load permits. */
-using PermitMessage = std::variant<PermitRequest, PermitReturn, PermitGrant, PermitOutlook>;
+using PermitMessage = std::variant<PermitRequest, PermitRelease, PermitGrant, PermitWaitEstimate>;
 
 std::string encodePermitMessage(const PermitMessage &message);
 /** Errors: BadRequest for what encodePermitMessage() does not write. */
--- a/tests/main/testpermitrunner.cpp
+++ b/tests/main/testpermitrunner.cpp
@@ -98,14 +98,14 @@
             for (auto &[id, member] : members) {
                 if (!wishes.contains(id)) {
                     wishes[id] = { AdapterId("a" + std::to_string(++serial)), AdapterVersion("1") };
-                    member.runner->ask(UpstreamId("e" + id), { wishes[id], Priority::Standard, 1, Duration() });
+                    member.runner->requestPermit(UpstreamId("e" + id), { wishes[id], Priority::Standard, 1, Duration() });
                 }
                 member.runner->setListed(size);
                 member.runner->tick();
                 deliver();
                 for (; !member.granted.empty(); member.granted.pop_front()) {
                     ++loads;
-                    member.runner->giveBack(UpstreamId("e" + id), { member.granted.front(), PermitEnd::Used });
+                    member.runner->release(UpstreamId("e" + id), { member.granted.front(), PermitEnd::Used });
                     wishes.erase(id);
                 }
                 deliver();
@@ -166,8 +166,8 @@
     // The giver's VM is taken away with permits out. The next node by rendezvous gives on.
     World world(4);
     world.run(Duration::seconds(5));
-    const std::string giver = permitGiverOf({ NodeId("n0"), NodeId("n1"), NodeId("n2"), NodeId("n3") }).value();
-    world.members.erase(giver);
+    const std::string issuer = permitIssuerOf({ NodeId("n0"), NodeId("n1"), NodeId("n2"), NodeId("n3") }).value();
+    world.members.erase(issuer);
     world.setLive(world.members);
     const int loads = world.run(Duration::seconds(20));
     cr_assert_leq(loads, 42);
--- a/tests/protocol/testpermitcodec.cpp
+++ b/tests/protocol/testpermitcodec.cpp
@@ -14,8 +14,8 @@
 Test(permitcodec, whatIsWrittenIsReadAndACutMessageIsRefused)
 {
     const std::vector<PermitMessage> messages { PermitRequest { Name, Priority::Patient, 4, Duration(900) },
-        PermitRequest { Name, std::nullopt, 0, Duration() }, PermitReturn { Name, PermitEnd::Withdrawn },
-        PermitGrant { Name, Duration(2000) }, PermitOutlook { Name, Priority::Urgent, Duration(1500) } };
+        PermitRequest { Name, std::nullopt, 0, Duration() }, PermitRelease { Name, PermitEnd::Withdrawn },
+        PermitGrant { Name, Duration(2000) }, PermitWaitEstimate { Name, Priority::Urgent, Duration(1500) } };
     for (const PermitMessage &message : messages) {
         const std::string bytes = encodePermitMessage(message);
         const auto read = decodePermitMessage(bytes);
