--- a/coordination/residency.cpp
+++ b/coordination/residency.cpp
@@ -50,9 +50,9 @@
 
 } // namespace
 
-struct Residency::Private
+struct EngineSlots::Private
 {
-    ResidencyLimits limits;
+    EngineSlotsLimits limits;
     absl::flat_hash_map<AdapterKey, Slot> slots;
     absl::flat_hash_map<AdapterKey, Pins> pins;
     absl::flat_hash_map<AdapterKey, double> scores;
@@ -78,14 +78,14 @@
     bool applyToSlot(const AdapterKey &adapter, bool isListed, Time takenAt, Time now);
 };
 
-double Residency::Private::scoreOf(const AdapterKey &adapter) const
+double EngineSlots::Private::scoreOf(const AdapterKey &adapter) const
 {
     const auto at = scores.find(adapter);
     return at == scores.end() ? NoScore : at->second;
 }
 
 // Keeps the place of one slot among the idle ones.
-void Residency::Private::refreshIdle(const AdapterKey &adapter)
+void EngineSlots::Private::refreshIdle(const AdapterKey &adapter)
 {
     const auto ranked = idleRank.find(adapter);
     if (ranked != idleRank.end()) {
@@ -101,7 +101,7 @@
     }
 }
 
-void Residency::Private::setState(const AdapterKey &adapter, SlotState state, Time now)
+void EngineSlots::Private::setState(const AdapterKey &adapter, SlotState state, Time now)
 {
     const auto [at, isNew] = slots.try_emplace(adapter);
     if (isNew) {
@@ -113,7 +113,7 @@
     refreshIdle(adapter);
 }
 
-void Residency::Private::erase(const AdapterKey &adapter)
+void EngineSlots::Private::erase(const AdapterKey &adapter)
 {
     const auto at = slots.find(adapter);
     if (at == slots.end()) {
@@ -128,7 +128,7 @@
     }
 }
 
-void Residency::Private::setScore(const AdapterKey &adapter, double score)
+void EngineSlots::Private::setScore(const AdapterKey &adapter, double score)
 {
     const bool isAbsent = !slots.contains(adapter);
     if (isAbsent) {
@@ -143,7 +143,7 @@
     }
 }
 
-void Residency::Private::forgetLeastPopular()
+void EngineSlots::Private::forgetLeastPopular()
 {
     while (std::cmp_greater(absent.size(), limits.remembered)) {
         scores.erase(absent.begin()->second);
@@ -151,7 +151,7 @@
     }
 }
 
-void Residency::Private::unpin(const AdapterKey &adapter, int Pins::*count)
+void EngineSlots::Private::unpin(const AdapterKey &adapter, int Pins::*count)
 {
     const auto at = pins.find(adapter);
     if (at == pins.end() || at->second.*count == 0) {
@@ -164,7 +164,7 @@
     }
 }
 
-bool Residency::Private::isEvictable(const AdapterKey &adapter, const Slot &slot, bool isUrgent, Time now) const
+bool EngineSlots::Private::isEvictable(const AdapterKey &adapter, const Slot &slot, bool isUrgent, Time now) const
 {
     // Another node may have a request on it that this one does not count. Evicting it would cut that answer off midway.
     if (inUseElsewhere.contains(adapter) || reportedInUse.contains(adapter)) {
@@ -174,7 +174,7 @@
 }
 
 // Brings one slot in line with a report; true when its state changed. Reports lag: what changed after @p takenAt is newer than they.
-bool Residency::Private::applyToSlot(const AdapterKey &adapter, bool isListed, Time takenAt, Time now)
+bool EngineSlots::Private::applyToSlot(const AdapterKey &adapter, bool isListed, Time takenAt, Time now)
 {
     const auto at = slots.find(adapter);
     if (at == slots.end()) {
@@ -199,81 +199,81 @@
     return false;
 }
 
-Residency::Residency(ResidencyLimits limits)
+EngineSlots::EngineSlots(EngineSlotsLimits limits)
     : d(std::make_unique<Private>())
 {
     d->limits = limits;
 }
 
-Residency::~Residency() = default;
-Residency::Residency(Residency &&) noexcept = default;
-Residency &Residency::operator=(Residency &&) noexcept = default;
+EngineSlots::~EngineSlots() = default;
+EngineSlots::EngineSlots(EngineSlots &&) noexcept = default;
+EngineSlots &EngineSlots::operator=(EngineSlots &&) noexcept = default;
 
-void Residency::noteDemand(const AdapterKey &adapter, Time now)
+void EngineSlots::recordRequest(const AdapterKey &adapter, Time now)
 {
-    d->setScore(adapter, addUse(d->scoreOf(adapter), scoreOfOneUse(now)));
+    d->setScore(adapter, addUse(d->scoreOf(adapter), singleUseScore(now)));
 }
 
-void Residency::addQueued(const AdapterKey &adapter)
+void EngineSlots::addQueued(const AdapterKey &adapter)
 {
     ++d->pins[adapter].queued;
     d->refreshIdle(adapter);
 }
 
-void Residency::removeQueued(const AdapterKey &adapter)
+void EngineSlots::removeQueued(const AdapterKey &adapter)
 {
     d->unpin(adapter, &Pins::queued);
 }
 
-void Residency::addRunning(const AdapterKey &adapter)
+void EngineSlots::addRunning(const AdapterKey &adapter)
 {
     ++d->pins[adapter].running;
     d->refreshIdle(adapter);
 }
 
-void Residency::removeRunning(const AdapterKey &adapter)
+void EngineSlots::removeRunning(const AdapterKey &adapter)
 {
     d->unpin(adapter, &Pins::running);
 }
 
-std::optional<SlotState> Residency::state(const AdapterKey &adapter) const
+std::optional<SlotState> EngineSlots::state(const AdapterKey &adapter) const
 {
     const auto at = d->slots.find(adapter);
     return at == d->slots.end() ? std::nullopt : std::optional(at->second.state);
 }
 
-bool Residency::isLoaded(const AdapterKey &adapter) const
+bool EngineSlots::isLoaded(const AdapterKey &adapter) const
 {
     return state(adapter) == SlotState::Loaded;
 }
 
-int Residency::freeSlots() const
+int EngineSlots::freeSlots() const
 {
     return std::max(0, d->limits.slots - static_cast<int>(d->slots.size()));
 }
 
-int Residency::evictingCount() const
+int EngineSlots::evictingCount() const
 {
     return d->evicting;
 }
 
-int Residency::unpinnedSlots() const
+int EngineSlots::unpinnedSlots() const
 {
     return freeSlots() + static_cast<int>(d->idle.size());
 }
 
-int Residency::obtainableSlots() const
+int EngineSlots::obtainableSlots() const
 {
     return freeSlots() + d->evicting + (d->mayEvict ? static_cast<int>(d->idle.size()) : 0);
 }
 
-void Residency::beginLoad(const AdapterKey &adapter, Time now)
+void EngineSlots::beginLoad(const AdapterKey &adapter, Time now)
 {
     d->setState(adapter, SlotState::Loading, now);
     d->slots[adapter].hasCrossedRestart = false;
 }
 
-void Residency::endLoad(const AdapterKey &adapter, OrderOutcome outcome, Time now)
+void EngineSlots::endLoad(const AdapterKey &adapter, OrderOutcome outcome, Time now)
 {
     const auto at = d->slots.find(adapter);
     if (at == d->slots.end() || at->second.state != SlotState::Loading) {
@@ -294,7 +294,7 @@
     d->setState(adapter, SlotState::Loaded, now);
 }
 
-std::optional<AdapterKey> Residency::evictionVictim(bool isUrgent, Time now, double belowScore) const
+std::optional<AdapterKey> EngineSlots::evictionVictim(bool isUrgent, Time now, double belowScore) const
 {
     if (!d->mayEvict) {
         return std::nullopt;
@@ -310,7 +310,7 @@
     return std::nullopt;
 }
 
-std::optional<AdapterKey> Residency::beginEviction(bool isUrgent, Time now, double belowScore)
+std::optional<AdapterKey> EngineSlots::beginEviction(bool isUrgent, Time now, double belowScore)
 {
     auto victim = evictionVictim(isUrgent, now, belowScore);
     if (victim.has_value()) {
@@ -319,7 +319,7 @@
     return victim;
 }
 
-void Residency::endEviction(const AdapterKey &adapter, OrderOutcome outcome, Time now)
+void EngineSlots::endEviction(const AdapterKey &adapter, OrderOutcome outcome, Time now)
 {
     const auto at = d->slots.find(adapter);
     if (at == d->slots.end() || at->second.state != SlotState::Evicting) {
@@ -341,7 +341,7 @@
     }
 }
 
-void Residency::restart()
+void EngineSlots::onRestart()
 {
     std::vector<AdapterKey> gone;
     for (auto &[adapter, slot] : d->slots) {
@@ -357,7 +357,7 @@
     d->reportedInUse.clear();
 }
 
-std::vector<AdapterKey> Residency::applyReport(
+std::vector<AdapterKey> EngineSlots::applyReport(
     Time takenAt, const std::vector<AdapterKey> &loaded, const std::vector<AdapterKey> &inUse, Time now)
 {
     std::vector<AdapterKey> known;
@@ -380,28 +380,28 @@
     return changed;
 }
 
-void Residency::applyRule(bool mayEvict, const std::vector<AdapterKey> &inUseElsewhere)
+void EngineSlots::setEvictionRule(bool mayEvict, const std::vector<AdapterKey> &inUseElsewhere)
 {
     d->mayEvict = mayEvict;
     d->inUseElsewhere = absl::flat_hash_set<AdapterKey>(inUseElsewhere.begin(), inUseElsewhere.end());
 }
 
-double Residency::score(const AdapterKey &adapter) const
+double EngineSlots::score(const AdapterKey &adapter) const
 {
     return d->scoreOf(adapter);
 }
 
-double Residency::scoreOfOneUse(Time now) const
+double EngineSlots::singleUseScore(Time now) const
 {
     return static_cast<double>(now.milliseconds()) / static_cast<double>(d->limits.halfLife.milliseconds());
 }
 
-std::optional<AdapterKey> Residency::mostWantedAbsent() const
+std::optional<AdapterKey> EngineSlots::mostPopularAbsent() const
 {
     return d->absent.empty() ? std::nullopt : std::optional(d->absent.rbegin()->second);
 }
 
-std::vector<AdapterKey> Residency::residents() const
+std::vector<AdapterKey> EngineSlots::residents() const
 {
     std::vector<AdapterKey> all;
     all.reserve(d->slots.size());
--- a/coordination/residency.h
+++ b/coordination/residency.h
@@ -36,7 +36,7 @@
     Unknown,
 };
 
-struct ResidencyLimits
+struct EngineSlotsLimits
 {
     /** Adapters that fit at once; at least 1. */
     int slots = 8;
@@ -51,18 +51,18 @@
 };
 
 /** The slots of one engine. Not thread-safe. */
-class Residency
+class EngineSlots
 {
 public:
     static constexpr double NoScore = -std::numeric_limits<double>::infinity();
 
-    explicit Residency(ResidencyLimits limits);
-    ~Residency();
-    Residency(Residency &&) noexcept;
-    Residency &operator=(Residency &&) noexcept;
+    explicit EngineSlots(EngineSlotsLimits limits);
+    ~EngineSlots();
+    EngineSlots(EngineSlots &&) noexcept;
+    EngineSlots &operator=(EngineSlots &&) noexcept;
 
     /** A request for @p adapter arrived. */
-    void noteDemand(const AdapterKey &adapter, Time now);
+    void recordRequest(const AdapterKey &adapter, Time now);
     /** Requests that wait or run pin their adapter. The counts stand apart from the slots, so that a restart cannot upset them. */
     void addQueued(const AdapterKey &adapter);
     void removeQueued(const AdapterKey &adapter);
@@ -92,18 +92,18 @@
     void endEviction(const AdapterKey &adapter, OrderOutcome outcome, Time now);
 
     /** The engine restarted: it holds nothing. The counts of running requests stay until each has ended. */
-    void restart();
+    void onRestart();
     /** Takes over what the engine says of itself; returns the adapters whose state changed. */
     std::vector<AdapterKey> applyReport(
         Time takenAt, const std::vector<AdapterKey> &loaded, const std::vector<AdapterKey> &inUse, Time now);
-    void applyRule(bool mayEvict, const std::vector<AdapterKey> &inUseElsewhere);
+    void setEvictionRule(bool mayEvict, const std::vector<AdapterKey> &inUseElsewhere);
 
     /** The logarithm of the decayed frequency; comparable at any time, NoScore for an adapter never asked for. */
     double score(const AdapterKey &adapter) const;
     /** The score of an adapter that was asked for once, at @p now. */
-    double scoreOfOneUse(Time now) const;
+    double singleUseScore(Time now) const;
     /** The most popular adapter that takes no slot. */
-    std::optional<AdapterKey> mostWantedAbsent() const;
+    std::optional<AdapterKey> mostPopularAbsent() const;
     /** Adapters that take a slot, sorted. */
     std::vector<AdapterKey> residents() const;
 
--- a/coordination/upstreamscheduler.cpp
+++ b/coordination/upstreamscheduler.cpp
@@ -68,13 +68,13 @@
     return isDone ? OrderOutcome::Done : OrderOutcome::Failed;
 }
 
-ResidencyLimits residencyLimits(const SchedulerLimits &limits)
+EngineSlotsLimits residencyLimits(const SchedulerLimits &limits)
 {
-    ResidencyLimits residency;
-    residency.slots = limits.slots;
-    residency.loadTime = limits.loadTime;
-    residency.minimumResidence = limits.loadTime * 4;
-    return residency;
+    EngineSlotsLimits engineSlots;
+    engineSlots.slots = limits.slots;
+    engineSlots.loadTime = limits.loadTime;
+    engineSlots.minimumResidence = limits.loadTime * 4;
+    return engineSlots;
 }
 
 double batchShareOf(const SchedulerLimits &limits)
@@ -97,7 +97,7 @@
 {
     explicit Private(const SchedulerLimits &theLimits)
         : limits(theLimits)
-        , residency(residencyLimits(theLimits))
+        , engineSlots(residencyLimits(theLimits))
         , order(orderLimits(theLimits), theLimits.seed)
         , batchShare(batchShareOf(theLimits))
         , keptSeats(theLimits.batch * theLimits.urgentSeatsPercent / 100)
@@ -107,7 +107,7 @@
     }
 
     SchedulerLimits limits;
-    Residency residency;
+    EngineSlots engineSlots;
     WorkQueue queue;
     LoadQueue order;
     absl::flat_hash_map<RequestId, Running> running;
@@ -177,7 +177,7 @@
 Duration UpstreamScheduler::Private::allowedWait(const WorkItem &item, Time now) const
 {
     const Duration left = item.deadline - now;
-    const bool waitsForLoad = item.priority == Priority::Urgent && !residency.isLoaded(item.adapter);
+    const bool waitsForLoad = item.priority == Priority::Urgent && !engineSlots.isLoaded(item.adapter);
     if (!waitsForLoad) {
         return left;
     }
@@ -188,10 +188,10 @@
 
 Duration UpstreamScheduler::Private::expectedLoadWait(const AdapterKey &adapter, QueueLevel level, Time now) const
 {
-    if (residency.isLoaded(adapter)) {
+    if (engineSlots.isLoaded(adapter)) {
         return {};
     }
-    const auto state = residency.state(adapter);
+    const auto state = engineSlots.state(adapter);
     const auto present = order.demand(adapter);
     // The load is under way or has its place already; this request only joins it.
     if (state == SlotState::Loading || (present.has_value() && present->level <= level)) {
@@ -245,13 +245,13 @@
 
 void UpstreamScheduler::Private::leaveQueue(const WorkItem &item)
 {
-    residency.removeQueued(item.adapter);
+    engineSlots.removeQueued(item.adapter);
 }
 
 // Brings the readiness of an adapter's requests and its place among the loads in line with its slot.
 void UpstreamScheduler::Private::refreshAdapter(const AdapterKey &adapter, Time now)
 {
-    const auto state = residency.state(adapter);
+    const auto state = engineSlots.state(adapter);
     queue.setReady(adapter, state == SlotState::Loaded);
     const bool mayLoad = !state.has_value() || state == SlotState::Unknown;
     const AdapterDemand demand = mayLoad ? queue.demand(adapter) : AdapterDemand {};
@@ -264,7 +264,7 @@
 void UpstreamScheduler::Private::on(const WorkArrived &event, Time now)
 {
     const WorkItem &item = event.item;
-    residency.noteDemand(item.adapter, now);
+    engineSlots.recordRequest(item.adapter, now);
     const Duration wait = expectedWait(item, now);
     const Duration allowed = allowedWait(item, now);
     if (wait > allowed) {
@@ -272,7 +272,7 @@
         return;
     }
     queue.add(item);
-    residency.addQueued(item.adapter);
+    engineSlots.addQueued(item.adapter);
     refreshAdapter(item.adapter, now);
 }
 
@@ -291,7 +291,7 @@
         return;
     }
     const Running &ended = at->second;
-    residency.removeRunning(ended.item.adapter);
+    engineSlots.removeRunning(ended.item.adapter);
     if (ended.start == start) {
         --seats;
         othersSeats -= ended.item.priority == Priority::Urgent ? 0 : 1;
@@ -311,7 +311,7 @@
         usedPermits.erase(permit);
     }
     const OrderOutcome outcome = outcomeOf(event.isLoaded, event.isUnknown);
-    residency.endLoad(event.adapter, outcome, now);
+    engineSlots.endLoad(event.adapter, outcome, now);
     if (outcome == OrderOutcome::Done) {
         order.onLoadSucceeded(event.adapter);
         refreshAdapter(event.adapter, now);
@@ -326,7 +326,7 @@
 
 void UpstreamScheduler::Private::on(const EvictFinished &event, Time now)
 {
-    residency.endEviction(event.adapter, outcomeOf(event.isEvicted, event.isUnknown), now);
+    engineSlots.endEviction(event.adapter, outcomeOf(event.isEvicted, event.isUnknown), now);
     refreshAdapter(event.adapter, now);
 }
 
@@ -334,11 +334,11 @@
 // and an eviction under a request that still runs would break its answer midway. They no longer hold seats.
 void UpstreamScheduler::Private::on(const UpstreamRestarted &, Time now)
 {
-    const std::vector<AdapterKey> before = residency.residents();
+    const std::vector<AdapterKey> before = engineSlots.residents();
     ++start;
     seats = 0;
     othersSeats = 0;
-    residency.restart();
+    engineSlots.onRestart();
     for (const AdapterKey &adapter : before) {
         refreshAdapter(adapter, now);
     }
@@ -359,7 +359,7 @@
 
 void UpstreamScheduler::Private::on(const LoadReport &event, Time now)
 {
-    for (const AdapterKey &adapter : residency.applyReport(event.takenAt, event.loaded, event.inUse, now)) {
+    for (const AdapterKey &adapter : engineSlots.applyReport(event.takenAt, event.loaded, event.inUse, now)) {
         refreshAdapter(adapter, now);
     }
 }
@@ -372,7 +372,7 @@
 
 void UpstreamScheduler::Private::on(const EvictionRule &event, Time)
 {
-    residency.applyRule(event.mayEvict, event.inUseElsewhere);
+    engineSlots.setEvictionRule(event.mayEvict, event.inUseElsewhere);
 }
 
 void UpstreamScheduler::Private::on(const Tick &, Time)
@@ -432,7 +432,7 @@
         if (!item.has_value()) {
             return;
         }
-        residency.addRunning(item->adapter);
+        engineSlots.addRunning(item->adapter);
         leaveQueue(*item);
         ++seats;
         othersSeats += item->priority == Priority::Urgent ? 0 : 1;
@@ -463,14 +463,14 @@
 {
     const auto demand = order.demand(adapter);
     const bool isUrgent = demand.has_value() && demand->level == QueueLevel::Urgent;
-    const bool hasSlot = residency.state(adapter) == SlotState::Unknown;
-    return isUrgent || hasSlot || residency.unpinnedSlots() + residency.evictingCount() > keptSlots;
+    const bool hasSlot = engineSlots.state(adapter) == SlotState::Unknown;
+    return isUrgent || hasSlot || engineSlots.unpinnedSlots() + engineSlots.evictingCount() > keptSlots;
 }
 
 // True when @p adapter can be loaded at once. Otherwise sees to it that a slot comes free, if one can.
 bool UpstreamScheduler::Private::makeRoom(const AdapterKey &adapter, int &slotsComing, Time now)
 {
-    if (residency.state(adapter) == SlotState::Unknown || residency.freeSlots() > 0) {
+    if (engineSlots.state(adapter) == SlotState::Unknown || engineSlots.freeSlots() > 0) {
         return true;
     }
     if (slotsComing > 0) {
@@ -479,7 +479,7 @@
     }
     const auto demand = order.demand(adapter);
     const bool isUrgent = demand.has_value() && demand->level <= QueueLevel::Aged;
-    if (const auto victim = residency.beginEviction(isUrgent, now)) {
+    if (const auto victim = engineSlots.beginEviction(isUrgent, now)) {
         queue.setReady(*victim, false);
         actions.emplace_back(StartEvict { *victim });
     }
@@ -497,7 +497,7 @@
 
 void UpstreamScheduler::Private::startLoad(const AdapterKey &adapter, Time now)
 {
-    residency.beginLoad(adapter, now);
+    engineSlots.beginLoad(adapter, now);
     noteLoadStart(adapter, now);
     order.remove(adapter);
     ++loadsInFlight;
@@ -524,7 +524,7 @@
     if (budget <= 0) {
         return;
     }
-    int slotsComing = residency.evictingCount();
+    int slotsComing = engineSlots.evictingCount();
     for (const AdapterKey &adapter : order.first(budget)) {
         if (!maySlotBeTaken(adapter)) {
             break;
@@ -540,15 +540,15 @@
 
 std::optional<AdapterKey> UpstreamScheduler::Private::prefetchTarget(Time now) const
 {
-    const auto target = residency.mostWantedAbsent();
+    const auto target = engineSlots.mostPopularAbsent();
     if (!target.has_value()) {
         return std::nullopt;
     }
-    const double score = residency.score(*target);
-    const double uses = std::exp2(score - residency.scoreOfOneUse(now));
+    const double score = engineSlots.score(*target);
+    const double uses = std::exp2(score - engineSlots.singleUseScore(now));
     // The same question as prefetch() asks: a permit that cannot be used would be returned and asked for again without an end.
-    const bool hasRoom = residency.freeSlots() > 0 || residency.evictingCount() > 0
-        || residency.evictionVictim(false, now, score - PrefetchAdvantage).has_value();
+    const bool hasRoom = engineSlots.freeSlots() > 0 || engineSlots.evictingCount() > 0
+        || engineSlots.evictionVictim(false, now, score - PrefetchAdvantage).has_value();
     const bool isTried = order.remainingBackoff(*target, now) > Duration();
     return uses >= PrefetchUses && hasRoom && !isTried ? target : std::nullopt;
 }
@@ -557,16 +557,16 @@
 void UpstreamScheduler::Private::prefetch(Time now)
 {
     const auto target = prefetchTarget(now);
-    if (target.has_value() && !permits.empty() && residency.freeSlots() > 0) {
+    if (target.has_value() && !permits.empty() && engineSlots.freeSlots() > 0) {
         startLoad(*target, now);
         return;
     }
-    if (target.has_value() && residency.evictingCount() == 0) {
-        if (const auto victim = residency.beginEviction(false, now, residency.score(*target) - PrefetchAdvantage)) {
+    if (target.has_value() && engineSlots.evictingCount() == 0) {
+        if (const auto victim = engineSlots.beginEviction(false, now, engineSlots.score(*target) - PrefetchAdvantage)) {
             actions.emplace_back(StartEvict { *victim });
         }
     }
-    if (residency.evictingCount() > 0) {
+    if (engineSlots.evictingCount() > 0) {
         return;
     }
     for (const HeldPermit &permit : permits) {
@@ -586,7 +586,7 @@
     if (!limits.needsPermits) {
         return;
     }
-    const int room = std::min(MaxAsks, residency.obtainableSlots());
+    const int room = std::min(MaxAsks, engineSlots.obtainableSlots());
     int held = static_cast<int>(permits.size());
     for (const AdapterKey &adapter : order.first(room)) {
         if (!maySlotBeTaken(adapter)) {
@@ -644,7 +644,7 @@
 
 std::vector<AdapterKey> UpstreamScheduler::residentAdapters() const
 {
-    return d->residency.residents();
+    return d->engineSlots.residents();
 }
 
 } // namespace ApricotStep
--- a/tests/coordination/testresidency.cpp
+++ b/tests/coordination/testresidency.cpp
@@ -12,13 +12,13 @@
     return { AdapterId(id), AdapterVersion("1") };
 }
 
-Residency withLoaded(int slots, std::initializer_list<const char *> ids)
+EngineSlots withLoaded(int slots, std::initializer_list<const char *> ids)
 {
-    ResidencyLimits limits;
+    EngineSlotsLimits limits;
     limits.slots = slots;
-    Residency residency(limits);
+    EngineSlots residency(limits);
     for (const char *id : ids) {
-        residency.noteDemand(adapter(id), Time(0));
+        residency.recordRequest(adapter(id), Time(0));
         residency.beginLoad(adapter(id), Time(0));
         residency.endLoad(adapter(id), OrderOutcome::Done, Time(250));
     }
@@ -33,29 +33,29 @@
 {
     // A run of requests for rare adapters sweeps over the slots. By last use the popular adapter goes, and its many callers all stall
     // for a load that was never needed.
-    Residency residency = withLoaded(2, { "popular", "rare" });
+    EngineSlots residency = withLoaded(2, { "popular", "rare" });
     for (int use = 0; use < 10; ++use) {
-        residency.noteDemand(adapter("popular"), Time(1000));
+        residency.recordRequest(adapter("popular"), Time(1000));
     }
-    residency.noteDemand(adapter("rare"), Time(50'000));
+    residency.recordRequest(adapter("rare"), Time(50'000));
     cr_assert(residency.beginEviction(false, Later) == adapter("rare"));
 }
 
 Test(residency, whatWaitsOrRunsOrIsUsedElsewhereStays)
 {
     // Each reason alone must hold the adapter. Evicting it under a request, ours or another node's, cuts an answer off midway.
-    Residency residency = withLoaded(1, { "a" });
+    EngineSlots residency = withLoaded(1, { "a" });
     residency.addRunning(adapter("a"));
     cr_assert(!residency.beginEviction(true, Later).has_value());
     residency.addQueued(adapter("a"));
     residency.removeRunning(adapter("a"));
     cr_assert(!residency.beginEviction(true, Later).has_value());
     residency.removeQueued(adapter("a"));
-    residency.applyRule(true, { adapter("a") });
+    residency.setEvictionRule(true, { adapter("a") });
     cr_assert(!residency.beginEviction(true, Later).has_value());
-    residency.applyRule(false, {});
+    residency.setEvictionRule(false, {});
     cr_assert(!residency.beginEviction(true, Later).has_value());
-    residency.applyRule(true, {});
+    residency.setEvictionRule(true, {});
     residency.applyReport(Later, { adapter("a") }, { adapter("a") }, Later);
     cr_assert(!residency.beginEviction(true, Later).has_value());
     residency.applyReport(Later, { adapter("a") }, {}, Later);
@@ -66,7 +66,7 @@
 {
     // A load times out, but the engine finished it. Were the slot taken for free, the next load would be one too many for the engine
     // and fail, for a request that had nothing to do with it.
-    Residency residency = withLoaded(1, {});
+    EngineSlots residency = withLoaded(1, {});
     residency.beginLoad(adapter("a"), Time(0));
     residency.endLoad(adapter("a"), OrderOutcome::Unknown, Time(30'000));
     cr_assert_eq(residency.freeSlots(), 0);
@@ -80,9 +80,9 @@
 {
     // The engine seems to have restarted, but it was only one adapter that it had dropped, and a request still runs on another. The
     // adapter is loaded again; it must not go before that request has ended, and the count must not end below zero.
-    Residency residency = withLoaded(1, { "a" });
+    EngineSlots residency = withLoaded(1, { "a" });
     residency.addRunning(adapter("a"));
-    residency.restart();
+    residency.onRestart();
     cr_assert_eq(residency.freeSlots(), 1);
     residency.beginLoad(adapter("a"), Later);
     residency.endLoad(adapter("a"), OrderOutcome::Done, Later);
@@ -94,7 +94,7 @@
 
 Test(residency, aRefusedEvictionKeepsTheAdapterAndIsNotRepeatedAtOnce)
 {
-    Residency residency = withLoaded(1, { "a" });
+    EngineSlots residency = withLoaded(1, { "a" });
     cr_assert(residency.beginEviction(true, Later).has_value());
     residency.endEviction(adapter("a"), OrderOutcome::Failed, Later);
     cr_assert(residency.isLoaded(adapter("a")));
@@ -105,7 +105,7 @@
 Test(residency, aFreshlyLoadedAdapterStaysAWhile)
 {
     // Two adapters that take turns would evict each other at each request, a load apiece.
-    Residency residency = withLoaded(1, { "a" });
+    EngineSlots residency = withLoaded(1, { "a" });
     cr_assert(!residency.beginEviction(false, Time(300)).has_value());
     cr_assert(residency.beginEviction(true, Time(300)).has_value(), "urgent work does not wait for that");
 }
