--- a/coordination/placement.cpp
+++ b/coordination/placement.cpp
@@ -151,7 +151,7 @@
     return candidates;
 }
 
-bool Placement::isOf(const std::shared_ptr<const Catalog> &catalog, const std::shared_ptr<const FleetView> &fleet) const
+bool Placement::isBuiltFrom(const std::shared_ptr<const Catalog> &catalog, const std::shared_ptr<const FleetView> &fleet) const
 {
     return d->catalog == catalog && d->fleet == fleet;
 }
--- a/coordination/placement.h
+++ b/coordination/placement.h
@@ -43,7 +43,7 @@
      */
     std::vector<Candidate> candidates(const AdapterKey &adapter) const;
     /** Whether this placement was made from these very snapshots. */
-    bool isOf(const std::shared_ptr<const Catalog> &catalog, const std::shared_ptr<const FleetView> &fleet) const;
+    bool isBuiltFrom(const std::shared_ptr<const Catalog> &catalog, const std::shared_ptr<const FleetView> &fleet) const;
 
 private:
     struct Private;
--- a/coordination/replicachoice.cpp
+++ b/coordination/replicachoice.cpp
@@ -20,7 +20,7 @@
 
 double bias(const ReplicaView &view)
 {
-    return (view.isNear ? 0 : FarZoneCost) - (view.hasPrefix ? PrefixGain : 0);
+    return (view.isInSameZone ? 0 : FarZoneCost) - (view.hasPrefix ? PrefixGain : 0);
 }
 
 // How much worse @p a is than @p b. Depths count only when both are known: taken as empty, an unknown one would draw everything.
--- a/coordination/replicachoice.h
+++ b/coordination/replicachoice.h
@@ -21,7 +21,7 @@
     std::optional<int> depth;
     /** Share that it should get: 0 ejected, below 1 while it returns slowly. */
     double share = 1;
-    bool isNear = true;
+    bool isInSameZone = true;
     /** The upstream is believed to hold the prompt's prefix. */
     bool hasPrefix = false;
     /** Already tried for this request. */
--- a/main/engineplacer.cpp
+++ b/main/engineplacer.cpp
@@ -42,7 +42,7 @@
     const bool isOwn = candidate.owner->id == self;
     ReplicaView view;
     view.isTried = (!isOwn && !request.mayForward) || std::find(request.tried.begin(), request.tried.end(), id) != request.tried.end();
-    view.isNear = candidate.upstream->zone == zone;
+    view.isInSameZone = candidate.upstream->zone == zone;
     if (!view.isTried && isOwn) {
         view.depth = depthOf(id);
         view.share = health.share(id);
@@ -62,7 +62,7 @@
 {
     {
         const absl::MutexLock lock(&d->placementMutex);
-        if (d->current != nullptr && d->current->isOf(catalog, fleet)) {
+        if (d->current != nullptr && d->current->isBuiltFrom(catalog, fleet)) {
             return d->current;
         }
     }
