--- a/coordination/configjob.cpp
+++ b/coordination/configjob.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-ConfigJob::ConfigJob(ConfigHead head, std::shared_ptr<const Catalog> current, std::string currentDelta)
+ConfigAssembler::ConfigAssembler(ConfigHead head, std::shared_ptr<const Catalog> current, std::string currentDelta)
     : m_head(std::move(head))
     , m_current(std::move(current))
     , m_currentDelta(std::move(currentDelta))
@@ -21,12 +21,12 @@
 {
 }
 
-const ConfigHead &ConfigJob::head() const
+const ConfigHead &ConfigAssembler::head() const
 {
     return m_head;
 }
 
-std::variant<WantedValue, JobResult> ConfigJob::next()
+std::variant<MissingValue, AssemblyResult> ConfigAssembler::next()
 {
     if (m_isBaseOnly) {
         return readBase();
@@ -48,16 +48,16 @@
     if (wanted.empty() || m_chain.size() >= MaxChain) {
         return failed("the changes from the base " + std::to_string(m_head.baseVersion.value()) + " on are not complete");
     }
-    return WantedValue { ConfigValueKind::Delta, wanted };
+    return MissingValue { ConfigValueKind::Delta, wanted };
 }
 
-std::variant<WantedValue, JobResult> ConfigJob::readBase()
+std::variant<MissingValue, AssemblyResult> ConfigAssembler::readBase()
 {
     if (!m_base) {
-        return WantedValue { ConfigValueKind::Base, m_head.baseHash };
+        return MissingValue { ConfigValueKind::Base, m_head.baseHash };
     }
     if (m_pages.size() < m_base->pages.size()) {
-        return WantedValue { ConfigValueKind::Page, m_base->pages[m_pages.size()] };
+        return MissingValue { ConfigValueKind::Page, m_base->pages[m_pages.size()] };
     }
     if (m_base->version != m_head.baseVersion) {
         return failed("the base is of another version than the head says");
@@ -77,7 +77,7 @@
     return build(base.value());
 }
 
-JobResult ConfigJob::build(std::shared_ptr<const Catalog> start) const
+AssemblyResult ConfigAssembler::build(std::shared_ptr<const Catalog> start) const
 {
     std::shared_ptr<const Catalog> base = start->version() == m_head.baseVersion ? start : nullptr;
     for (auto delta = m_chain.rbegin(); delta != m_chain.rend() && !m_isBaseOnly; ++delta) {
@@ -97,12 +97,12 @@
     return { std::move(start), std::move(base), m_isForked, m_isBaseOnly };
 }
 
-JobResult ConfigJob::failed(std::string detail) const
+AssemblyResult ConfigAssembler::failed(std::string detail) const
 {
     return { Error { ErrorKind::ConfigInvalid, std::move(detail) }, {}, m_isForked, m_isBaseOnly };
 }
 
-void ConfigJob::take(ConfigValue value)
+void ConfigAssembler::addValue(ConfigValue value)
 {
     std::visit(Overloaded {
                    [](ConfigHead &) {},
@@ -113,7 +113,7 @@
         value);
 }
 
-bool ConfigJob::skipChanges()
+bool ConfigAssembler::skipChanges()
 {
     if (m_isBaseOnly || (m_current != nullptr && m_head.baseVersion <= m_current->version())) {
         return false;
--- a/coordination/configjob.h
+++ b/coordination/configjob.h
@@ -12,15 +12,15 @@
 namespace ApricotStep
 {
 
-/** A value that a ConfigJob lacks. */
-struct WantedValue
+/** A value that a ConfigAssembler lacks. */
+struct MissingValue
 {
     ConfigValueKind kind = ConfigValueKind::Delta;
     std::string hash;
 };
 
 /** The job's end: the snapshot of its head's version, or the reason why the head cannot be taken. */
-struct JobResult
+struct AssemblyResult
 {
     Result<std::shared_ptr<const Catalog>> catalog;
     /** As PutInForce::base. */
@@ -35,23 +35,23 @@
  * The way from what is in force to one head: it names the values it lacks one after the other and then builds the snapshot. Walks back
  * from the newest change to the version in force; where that is too far or not on the way, it starts from the base.
  */
-class ConfigJob
+class ConfigAssembler
 {
 public:
     /** @p current may be null; @p currentDelta is the hash of the change that led to it, empty when that is not known. */
-    ConfigJob(ConfigHead head, std::shared_ptr<const Catalog> current, std::string currentDelta);
+    ConfigAssembler(ConfigHead head, std::shared_ptr<const Catalog> current, std::string currentDelta);
 
     const ConfigHead &head() const;
-    std::variant<WantedValue, JobResult> next();
+    std::variant<MissingValue, AssemblyResult> next();
     /** The value that next() asked for. */
-    void take(ConfigValue value);
+    void addValue(ConfigValue value);
     /** The change that next() asked for is nowhere to be had: goes for the base alone. False when that would not lead forward. */
     bool skipChanges();
 
 private:
-    std::variant<WantedValue, JobResult> readBase();
-    JobResult build(std::shared_ptr<const Catalog> start) const;
-    JobResult failed(std::string detail) const;
+    std::variant<MissingValue, AssemblyResult> readBase();
+    AssemblyResult build(std::shared_ptr<const Catalog> start) const;
+    AssemblyResult failed(std::string detail) const;
 
     ConfigHead m_head;
     std::shared_ptr<const Catalog> m_current;
--- a/coordination/configsync.cpp
+++ b/coordination/configsync.cpp
@@ -35,9 +35,9 @@
 
 struct Adoption
 {
-    ConfigJob job;
+    ConfigAssembler assembler;
     Source source;
-    WantedValue wanted;
+    MissingValue wanted;
     int attempts = 0;
     std::optional<FetchId> fetch;
     Time notBefore;
@@ -160,7 +160,7 @@
     void fetchWanted();
     Source nextSource();
     void giveUpValue();
-    void finish(const JobResult &result);
+    void finish(const AssemblyResult &result);
 };
 
 Duration ConfigSync::Private::scattered(Duration span)
@@ -353,21 +353,21 @@
 
 void ConfigSync::Private::adopt(const ConfigHead &head, const Source &source)
 {
-    if (adoption && adoption->job.head().version >= head.version) {
+    if (adoption && adoption->assembler.head().version >= head.version) {
         return;
     }
-    adoption.emplace(Adoption { ConfigJob(head, catalog, inForce.deltaHash), source, {}, 0, {}, now });
+    adoption.emplace(Adoption { ConfigAssembler(head, catalog, inForce.deltaHash), source, {}, 0, {}, now });
     stepAdoption();
 }
 
 void ConfigSync::Private::stepAdoption()
 {
-    const auto step = adoption->job.next();
-    if (const auto *result = std::get_if<JobResult>(&step)) {
+    const auto step = adoption->assembler.next();
+    if (const auto *result = std::get_if<AssemblyResult>(&step)) {
         finish(*result);
         return;
     }
-    adoption->wanted = std::get<WantedValue>(step);
+    adoption->wanted = std::get<MissingValue>(step);
     adoption->attempts = 0;
     fetchWanted();
 }
@@ -386,7 +386,7 @@
     std::vector<const NodeView *> good;
     for (const NodeView &node : others) {
         const auto at = heard.find(node.id);
-        if (at != heard.end() && at->second >= adoption->job.head().version) {
+        if (at != heard.end() && at->second >= adoption->assembler.head().version) {
             good.push_back(&node);
         }
     }
@@ -396,7 +396,7 @@
 void ConfigSync::Private::takeAdopted(const Result<ConfigValue> &value)
 {
     if (value.isOk()) {
-        adoption->job.take(value.value());
+        adoption->assembler.addValue(value.value());
         stepAdoption();
         return;
     }
@@ -405,7 +405,7 @@
         return;
     }
     if (value.error().kind == ErrorKind::StaleConfig) {
-        report(ConfigTrouble::Corrupted, adoption->job.head().version, value.error().detail);
+        report(ConfigTrouble::Corrupted, adoption->assembler.head().version, value.error().detail);
     }
     if (++adoption->attempts >= MaxAttempts) {
         giveUpValue();
@@ -418,8 +418,8 @@
 
 void ConfigSync::Private::giveUpValue()
 {
-    const ConfigVersion wanted = adoption->job.head().version;
-    if (adoption->wanted.kind == ConfigValueKind::Delta && adoption->job.skipChanges()) {
+    const ConfigVersion wanted = adoption->assembler.head().version;
+    if (adoption->wanted.kind == ConfigValueKind::Delta && adoption->assembler.skipChanges()) {
         report(ConfigTrouble::Gap, wanted, "a change is nowhere to be had; going for the base alone");
         stepAdoption();
         return;
@@ -430,9 +430,9 @@
     nextServiceRead = std::max(nextServiceRead, now + scattered(settings.minPoll));
 }
 
-void ConfigSync::Private::finish(const JobResult &result)
+void ConfigSync::Private::finish(const AssemblyResult &result)
 {
-    ConfigHead head = adoption->job.head();
+    ConfigHead head = adoption->assembler.head();
     adoption.reset();
     if (!result.catalog.isOk()) {
         refusedHash = head.hash;
--- a/main/valuedirectory.cpp
+++ b/main/valuedirectory.cpp
@@ -46,18 +46,18 @@
     if (!head.isOk()) {
         return head.error();
     }
-    ConfigJob job(std::get<ConfigHead>(head.value()), nullptr, {});
+    ConfigAssembler assembler(std::get<ConfigHead>(head.value()), nullptr, {});
     for (;;) {
-        const auto step = job.next();
-        if (const auto *result = std::get_if<JobResult>(&step)) {
+        const auto step = assembler.next();
+        if (const auto *result = std::get_if<AssemblyResult>(&step)) {
             return result->catalog;
         }
-        const auto &wanted = std::get<WantedValue>(step);
+        const auto &wanted = std::get<MissingValue>(step);
         auto value = read(wanted.kind, wanted.hash);
         if (!value.isOk()) {
             return value.error();
         }
-        job.take(std::move(value.value()));
+        assembler.addValue(std::move(value.value()));
     }
 }
 
