--- a/coordination/configjob.h
+++ b/coordination/configjob.h
@@ -23,7 +23,7 @@
 struct AssemblyResult
 {
     Result<std::shared_ptr<const Catalog>> catalog;
-    /** As PutInForce::base. */
+    /** As ActivateConfig::base. */
     std::shared_ptr<const Catalog> base;
     /** The head's history does not contain the version that was in force. */
     bool isForked = false;
--- a/coordination/configsync.cpp
+++ b/coordination/configsync.cpp
@@ -53,20 +53,20 @@
 
 } // namespace
 
-std::string_view configTroubleWord(ConfigTrouble trouble)
+std::string_view configProblemName(ConfigProblem problem)
 {
-    switch (trouble) {
-    case ConfigTrouble::Refused:
+    switch (problem) {
+    case ConfigProblem::Refused:
         return "invalid";
-    case ConfigTrouble::Conflict:
+    case ConfigProblem::Conflict:
         return "conflict";
-    case ConfigTrouble::Forked:
+    case ConfigProblem::Forked:
         return "forked";
-    case ConfigTrouble::Stale:
+    case ConfigProblem::Stale:
         return "stale";
-    case ConfigTrouble::Corrupted:
+    case ConfigProblem::Corrupted:
         return "corrupted";
-    case ConfigTrouble::Gap:
+    case ConfigProblem::Gap:
         return "gap";
     }
     return "";
@@ -132,7 +132,7 @@
     }
     Duration scattered(Duration span);
     Duration backoff(int failures);
-    void report(ConfigTrouble trouble, ConfigVersion ofVersion, std::string detail);
+    void report(ConfigProblem problem, ConfigVersion ofVersion, std::string detail);
     FetchId fetch(const Source &source, ConfigValueKind kind, const std::string &hash, Duration wait);
 
     void takePeers(const std::vector<NodeView> &nodes);
@@ -175,9 +175,9 @@
     return scattered(std::min(Duration(doubled), settings.lastBackoff));
 }
 
-void ConfigSync::Private::report(ConfigTrouble trouble, ConfigVersion ofVersion, std::string detail)
+void ConfigSync::Private::report(ConfigProblem problem, ConfigVersion ofVersion, std::string detail)
 {
-    actions.emplace_back(ReportTrouble { trouble, ofVersion, std::move(detail) });
+    actions.emplace_back(ReportConfigProblem { problem, ofVersion, std::move(detail) });
 }
 
 FetchId ConfigSync::Private::fetch(const Source &source, ConfigValueKind kind, const std::string &hash, Duration wait)
@@ -248,7 +248,7 @@
     if (head == nullptr) {
         if (!value.isOk() && value.error().kind == ErrorKind::ConfigInvalid && unreadable != value.error().detail) {
             unreadable = value.error().detail; // Reported once, not at each read.
-            report(ConfigTrouble::Refused, {}, value.error().detail);
+            report(ConfigProblem::Refused, {}, value.error().detail);
         }
         nextServiceRead = now + backoff(serviceFailures++);
         return;
@@ -257,7 +257,7 @@
     const bool isNew = isNews(*head);
     nextServiceRead = now + pauseAfterRead(isNew);
     if (head->version < version()) {
-        report(ConfigTrouble::Stale, head->version, "the service handed out an old version");
+        report(ConfigProblem::Stale, head->version, "the service handed out an old version");
     }
     if (!isNew) {
         return;
@@ -333,7 +333,7 @@
     if (catalog != nullptr && head.version == version() && !inForce.hash.empty() && head.hash != inForce.hash
         && head.hash != conflictHash) {
         conflictHash = head.hash;
-        report(ConfigTrouble::Conflict, head.version, "a second, different head of the version in force; publish a new version");
+        report(ConfigProblem::Conflict, head.version, "a second, different head of the version in force; publish a new version");
     }
     return head.version > version() && head.hash != refusedHash;
 }
@@ -342,7 +342,7 @@
 {
     if (held && held->head.version == head.version && held->head.hash != head.hash && conflictHash != head.hash) {
         conflictHash = head.hash;
-        report(ConfigTrouble::Conflict, head.version, "the service and a node have different heads of one version; publish a new version");
+        report(ConfigProblem::Conflict, head.version, "the service and a node have different heads of one version; publish a new version");
     }
     // Of equal ones a node's is kept: it is in force somewhere.
     const bool isBetter = !held || held->head.version < head.version || (held->head.version == head.version && source && !held->source);
@@ -405,7 +405,7 @@
         return;
     }
     if (value.error().kind == ErrorKind::StaleConfig) {
-        report(ConfigTrouble::Corrupted, adoption->assembler.head().version, value.error().detail);
+        report(ConfigProblem::Corrupted, adoption->assembler.head().version, value.error().detail);
     }
     if (++adoption->attempts >= MaxAttempts) {
         giveUpValue();
@@ -420,11 +420,11 @@
 {
     const ConfigVersion wanted = adoption->assembler.head().version;
     if (adoption->wanted.kind == ConfigValueKind::Delta && adoption->assembler.skipChanges()) {
-        report(ConfigTrouble::Gap, wanted, "a change is nowhere to be had; going for the base alone");
+        report(ConfigProblem::Gap, wanted, "a change is nowhere to be had; going for the base alone");
         stepAdoption();
         return;
     }
-    report(ConfigTrouble::Gap, wanted, "a value is nowhere to be had; trying again later");
+    report(ConfigProblem::Gap, wanted, "a value is nowhere to be had; trying again later");
     adoption.reset();
     heard.clear();
     nextServiceRead = std::max(nextServiceRead, now + scattered(settings.minPoll));
@@ -437,11 +437,11 @@
     if (!result.catalog.isOk()) {
         refusedHash = head.hash;
         heard.clear();
-        report(ConfigTrouble::Refused, head.version, result.catalog.error().detail);
+        report(ConfigProblem::Refused, head.version, result.catalog.error().detail);
         return;
     }
     if (result.isForked) {
-        report(ConfigTrouble::Forked, head.version, "it does not descend from version " + std::to_string(version().value()));
+        report(ConfigProblem::Forked, head.version, "it does not descend from version " + std::to_string(version().value()));
     }
     if (result.isBaseOnly) {
         head.version = head.baseVersion;
@@ -457,7 +457,7 @@
     if (watches()) {
         nextServiceRead = now;
     }
-    actions.emplace_back(PutInForce { catalog, head, result.base });
+    actions.emplace_back(ActivateConfig { catalog, head, result.base });
 }
 
 void ConfigSync::Private::askAtStart()
@@ -614,7 +614,7 @@
     d->now = now;
     std::visit(Overloaded {
                    [this](const PeersChanged &peers) { d->takePeers(peers.nodes); },
-                   [this](const VersionHeard &rumour) { d->takeRumour(rumour.fact); },
+                   [this](const VersionAnnounced &rumour) { d->takeRumour(rumour.fact); },
                    [this](const ValueFetched &fetched) { d->takeValue(fetched); },
                    [](const ConfigTick &) {},
                },
--- a/coordination/configsync.h
+++ b/coordination/configsync.h
@@ -54,7 +54,7 @@
 };
 
 /** Another node has a version in force. */
-struct VersionHeard
+struct VersionAnnounced
 {
     ConfigFact fact;
 };
@@ -71,7 +71,7 @@
 {
 };
 
-using ConfigEvent = std::variant<PeersChanged, VersionHeard, ValueFetched, ConfigTick>;
+using ConfigEvent = std::variant<PeersChanged, VersionAnnounced, ValueFetched, ConfigTick>;
 
 /** Fetch a value and report the end as ValueFetched. */
 struct FetchValue
@@ -90,7 +90,7 @@
 };
 
 /** Let every request from now on resolve in this snapshot, tell the other nodes, and hand its values to who asks. */
-struct PutInForce
+struct ActivateConfig
 {
     std::shared_ptr<const Catalog> catalog;
     /** Its hash is empty when only the base of the head could be had. */
@@ -99,7 +99,7 @@
     std::shared_ptr<const Catalog> base;
 };
 
-enum class ConfigTrouble {
+enum class ConfigProblem {
     /** The version is invalid; the one before stays in force. */
     Refused,
     /** A second, different head of the version in force. */
@@ -115,14 +115,14 @@
 };
 
 /** Tell the operator. */
-struct ReportTrouble
+struct ReportConfigProblem
 {
-    ConfigTrouble trouble = ConfigTrouble::Refused;
+    ConfigProblem problem = ConfigProblem::Refused;
     ConfigVersion version;
     std::string detail;
 };
 
-using ConfigAction = std::variant<FetchValue, PutInForce, ReportTrouble>;
+using ConfigAction = std::variant<FetchValue, ActivateConfig, ReportConfigProblem>;
 
 /**
  * Keeps one node's configuration at the newest accepted version: from the service, or from peers while the service is down, slow or
@@ -146,7 +146,7 @@
     std::unique_ptr<Private> d;
 };
 
-/** The word for @p trouble in metrics and logs. */
-std::string_view configTroubleWord(ConfigTrouble trouble);
+/** The word for @p problem in metrics and logs. */
+std::string_view configProblemName(ConfigProblem problem);
 
 } // namespace ApricotStep
--- a/main/configreader.cpp
+++ b/main/configreader.cpp
@@ -91,8 +91,8 @@
     void take(const ConfigFact &fact);
     void handle(const ConfigEvent &event);
     void carryOut(const FetchValue &fetch);
-    void carryOut(const PutInForce &version);
-    void carryOut(const ReportTrouble &report);
+    void carryOut(const ActivateConfig &version);
+    void carryOut(const ReportConfigProblem &report);
     void askService(const FetchValue &fetch);
     void askPeer(const FetchValue &fetch, const std::string &address);
 };
@@ -163,7 +163,7 @@
 
 void ConfigReader::Private::take(const ConfigFact &fact)
 {
-    handle(VersionHeard { fact });
+    handle(VersionAnnounced { fact });
 }
 
 void ConfigReader::Private::handle(const ConfigEvent &event)
@@ -225,7 +225,7 @@
     client.start(std::move(call));
 }
 
-void ConfigReader::Private::carryOut(const PutInForce &version)
+void ConfigReader::Private::carryOut(const ActivateConfig &version)
 {
     catalog.set(version.catalog);
     isPutInForce = true;
@@ -250,13 +250,13 @@
     }
 }
 
-void ConfigReader::Private::carryOut(const ReportTrouble &report)
+void ConfigReader::Private::carryOut(const ReportConfigProblem &report)
 {
-    const std::string word(configTroubleWord(report.trouble));
+    const std::string word(configProblemName(report.problem));
     metrics.configRefused(word);
     log->error("Configuration {} is in trouble. reason={} detail='{}'", report.version.value(), word, report.detail);
     const absl::MutexLock lock(&mutex);
-    status.trouble = "version " + std::to_string(report.version.value()) + ", " + word + ": " + report.detail;
+    status.problem = "version " + std::to_string(report.version.value()) + ", " + word + ": " + report.detail;
 }
 
 ConfigReader::ConfigReader(const Settings &settings, HttpClient &client, const Clock &clock, Metrics &metrics, Published<Catalog> &catalog,
--- a/main/configreader.h
+++ b/main/configreader.h
@@ -23,7 +23,7 @@
     std::uint64_t version = 0;
     bool isWatcher = false;
     /** The newest trouble, as a sentence; empty when there was none. */
-    std::string trouble;
+    std::string problem;
     /** Values held for peers. */
     std::size_t valueCount = 0;
     std::size_t valueBytes = 0;
--- a/main/metrics.h
+++ b/main/metrics.h
@@ -32,7 +32,7 @@
     /** @p outcome: tried, unreachable or too_many_hops. */
     void forward(const std::string &outcome);
     void configVersion(std::uint64_t version);
-    /** A configuration was not taken as published; @p reason: a word of configTroubleWord(). */
+    /** A configuration was not taken as published; @p reason: a word of configProblemName(). */
     void configRefused(const std::string &reason);
     void lateAnswerDropped();
     /** A call is made again; @p pool names the traffic that shares its retry budget. */
--- a/main/operatorport.cpp
+++ b/main/operatorport.cpp
@@ -117,7 +117,7 @@
     json["draining"] = m_parts.isDraining.load();
     json["config_version"] = current ? current->version().value() : 0;
     const ConfigStatus configStatus = m_parts.config.status();
-    json["config"] = { { "watcher", configStatus.isWatcher }, { "trouble", configStatus.trouble }, { "values", configStatus.valueCount },
+    json["config"] = { { "watcher", configStatus.isWatcher }, { "trouble", configStatus.problem }, { "values", configStatus.valueCount },
         { "value_bytes", configStatus.valueBytes } };
     json["nodes"] = Json::array();
     json["engines"] = Json::array();
--- a/tests/coordination/configworld.h
+++ b/tests/coordination/configworld.h
@@ -36,7 +36,7 @@
         std::map<ConfigVersion, Time> inForceAt;
         std::vector<ConfigFact> holders;
         int sendsLeft = 0;
-        std::vector<ReportTrouble> troubles;
+        std::vector<ReportConfigProblem> troubles;
         std::uint64_t bytes = 0;
         std::uint64_t serviceCalls = 0;
 
@@ -45,9 +45,9 @@
             const auto catalog = sync->catalog();
             return catalog == nullptr ? ConfigVersion() : catalog->version();
         }
-        bool hasTrouble(ConfigTrouble trouble) const
+        bool hasTrouble(ConfigProblem problem) const
         {
-            return std::any_of(troubles.begin(), troubles.end(), [&](const auto &one) { return one.trouble == trouble; });
+            return std::any_of(troubles.begin(), troubles.end(), [&](const auto &one) { return one.problem == problem; });
         }
     };
 
@@ -313,14 +313,14 @@
             at == holder.values.end() ? Result<ConfigValue>(Error { ErrorKind::NotFound, {} }) : at->second);
     }
 
-    void carryOut(Node &node, const PutInForce &version)
+    void carryOut(Node &node, const ActivateConfig &version)
     {
         node.head = version.head;
         node.inForceAt.emplace(version.catalog->version(), now);
         merge(node, { node.id, version.catalog->version() });
     }
 
-    void carryOut(Node &node, const ReportTrouble &report)
+    void carryOut(Node &node, const ReportConfigProblem &report)
     {
         node.troubles.push_back(report);
     }
@@ -360,7 +360,7 @@
         }
         holders.push_back(fact);
         node.sendsLeft = 4 * static_cast<int>(std::ceil(std::log10(static_cast<double>(nodes.size()) + 1)));
-        handle(node, VersionHeard { fact });
+        handle(node, VersionAnnounced { fact });
     }
 
     void gossip(Node &node, std::uint64_t life)
--- a/tests/coordination/testconfigsync.cpp
+++ b/tests/coordination/testconfigsync.cpp
@@ -95,14 +95,14 @@
         cr_assert(node->sync->catalog()->contains({ AdapterId("a2mine"), AdapterVersion("1") }));
         cr_assert_not(node->sync->catalog()->contains({ AdapterId("a2other"), AdapterVersion("1") }));
     }
-    cr_assert(world.nodes[0]->hasTrouble(ConfigTrouble::Conflict));
+    cr_assert(world.nodes[0]->hasTrouble(ConfigProblem::Conflict));
     // The next version comes from the other side: all take it, whole, and say that the histories parted.
     const ConfigVersion next = world.publish();
     world.run(Settled);
     cr_assert(world.allAt(next));
     cr_assert(world.nodes[0]->sync->catalog()->contains({ AdapterId("a2other"), AdapterVersion("1") }));
     cr_assert_not(world.nodes[0]->sync->catalog()->contains({ AdapterId("a2mine"), AdapterVersion("1") }));
-    cr_assert(world.nodes[0]->hasTrouble(ConfigTrouble::Forked));
+    cr_assert(world.nodes[0]->hasTrouble(ConfigProblem::Forked));
     cr_assert(version < next);
 }
 
@@ -119,7 +119,7 @@
     const ConfigVersion version = world.publish();
     world.run(Duration::seconds(5));
     cr_assert(world.allAt(ConfigVersion(1)));
-    const auto isReported = [](const auto &node) { return node->hasTrouble(ConfigTrouble::Corrupted); };
+    const auto isReported = [](const auto &node) { return node->hasTrouble(ConfigProblem::Corrupted); };
     cr_assert(std::any_of(world.nodes.begin(), world.nodes.end(), isReported));
     world.valueFor = [&](const auto &, const std::string &hash) { return world.stored(hash); };
     world.run(Duration::seconds(30));
@@ -169,7 +169,7 @@
     world.publish();
     world.values.erase("delta2");
     world.run(Duration::seconds(120));
-    cr_assert(world.nodes[0]->hasTrouble(ConfigTrouble::Gap));
+    cr_assert(world.nodes[0]->hasTrouble(ConfigProblem::Gap));
     cr_assert(world.allAt(ConfigVersion(1)));
     world.publishBase(ConfigVersion(4));
     world.published(ConfigVersion(4));
@@ -198,7 +198,7 @@
         "bad", { { { AdapterId("good"), AdapterVersion("1") }, {} }, { { AdapterId("no words here"), AdapterVersion("1") }, {} } });
     world.run(Duration::seconds(20));
     cr_assert(world.allAt(ConfigVersion(1)));
-    cr_assert(world.nodes[0]->hasTrouble(ConfigTrouble::Refused));
+    cr_assert(world.nodes[0]->hasTrouble(ConfigProblem::Refused));
     cr_assert_not(world.nodes[0]->sync->catalog()->contains({ AdapterId("good"), AdapterVersion("1") }));
     // A refused head is not fetched over and over: five nodes make a few calls a second at most.
     cr_assert_lt(world.serviceCalls() - calls, 200);
