--- a/coordination/fleetscope.cpp
+++ b/coordination/fleetscope.cpp
@@ -37,7 +37,7 @@
     return m_zone.isEmpty() || m_zone == engineZone;
 }
 
-bool FleetScope::isNear(const ZoneId &peerZone, const ZoneId &peerScope) const
+bool FleetScope::isScopePeer(const ZoneId &peerZone, const ZoneId &peerScope) const
 {
     return m_zone.isEmpty() || m_zone == (peerScope.isEmpty() ? peerZone : peerScope);
 }
--- a/coordination/fleetscope.h
+++ b/coordination/fleetscope.h
@@ -23,9 +23,9 @@
     /** A divided fleet becomes whole again only below this, so that one restart does not do it. */
     int smallestDivided = 24;
     /** Between messages to nodes that use the same engines. */
-    Duration nearInterval { 200 };
+    Duration inScopeInterval { 200 };
     /** Between messages to all others: they only count votes, and callers are hardly ever sent there. */
-    Duration farInterval { 2000 };
+    Duration outOfScopeInterval { 2000 };
 };
 
 /** Decides which engines a node uses, and which nodes it tells what it runs. Not thread-safe. */
@@ -43,7 +43,7 @@
     /** Whether the engines of @p engineZone are in use here. */
     bool covers(const ZoneId &engineZone) const;
     /** Whether a node of @p peerZone that uses the engines of @p peerScope (empty: all) shares engines with this one. */
-    bool isNear(const ZoneId &peerZone, const ZoneId &peerScope) const;
+    bool isScopePeer(const ZoneId &peerZone, const ZoneId &peerScope) const;
 
 private:
     FleetScopeLimits m_limits;
--- a/main/entry/fleetlink.cpp
+++ b/main/entry/fleetlink.cpp
@@ -140,7 +140,7 @@
     message.scope = scope.zone();
     message.capacity = identity.capacity;
     // Where it goes to all: a receiver that hears of this node seldom must not take it for dead in between.
-    message.interval = scope.zone().isEmpty() ? scopeLimits.nearInterval : scopeLimits.farInterval;
+    message.interval = scope.zone().isEmpty() ? scopeLimits.inScopeInterval : scopeLimits.outOfScopeInterval;
     message.callerAddress = identity.callerAddress;
     message.peerAddress = identity.peerAddress;
     const StoreSight sight = callbacks.storeSight();
@@ -200,7 +200,7 @@
 void FleetLink::Private::sendLoad(const FleetMessage &message)
 {
     FleetMessage near = message;
-    near.interval = scopeLimits.nearInterval;
+    near.interval = scopeLimits.inScopeInterval;
     FleetMessage full = near;
     near.uses.clear();
     FleetMessage far = message;
@@ -210,7 +210,7 @@
     const std::string most = encodeFleetMessage(near);
     const std::string least = encodeFleetMessage(far);
     const bool isStarting = now() - startedAt < StartTime;
-    const bool isFarDue = now() - farToldAt >= (isStarting ? FarIntervalAtStart : scopeLimits.farInterval) || isNews(message);
+    const bool isFarDue = now() - farToldAt >= (isStarting ? FarIntervalAtStart : scopeLimits.outOfScopeInterval) || isNews(message);
     if (isFarDue) {
         farToldAt = now();
     }
@@ -218,7 +218,7 @@
     for (const auto &[id, peer] : peers) {
         if (orderers.contains(id)) {
             socket->send(peer.peerAddress, whole);
-        } else if (scope.isNear(peer.zone, peer.scope)) {
+        } else if (scope.isScopePeer(peer.zone, peer.scope)) {
             socket->send(peer.peerAddress, most);
         } else if (isFarDue) {
             socket->send(peer.peerAddress, least);
@@ -252,7 +252,7 @@
     areWantsDue = false;
     FleetMessage message = base();
     message.uses = callbacks.pendingAdapters();
-    message.interval = scopeLimits.nearInterval; // Holders are told of loads as often, wherever they are.
+    message.interval = scopeLimits.inScopeInterval; // Holders are told of loads as often, wherever they are.
     if (message.uses.empty()) {
         return;
     }
@@ -393,7 +393,7 @@
     const bool isChanged = isNew || peer.isReady != message.isReady || peer.isLeaving != message.isLeaving;
     peer = Peer { message.sender, message.zone, message.scope, message.callerAddress, message.peerAddress, message.isReady,
         message.isLeaving, message.configVersion, now(), message.capacity, message.readRevision, message.isReadingStore,
-        heartbeatTimeout(std::max(scopeLimits.nearInterval, message.interval)) };
+        heartbeatTimeout(std::max(scopeLimits.inScopeInterval, message.interval)) };
     if (isChanged) {
         log.write(Important, "fleet", "peer", { { "peer", peer.id.value() }, { "ready", peer.isReady }, { "leaving", peer.isLeaving } });
     }
@@ -433,8 +433,8 @@
     if (!grants.empty()) {
         FleetMessage answer = base();
         answer.grants = std::move(grants);
-        if (scope.isNear(message.zone, message.scope)) {
-            answer.interval = scopeLimits.nearInterval;
+        if (scope.isScopePeer(message.zone, message.scope)) {
+            answer.interval = scopeLimits.inScopeInterval;
         }
         socket->send(message.peerAddress, encodeFleetMessage(answer));
     }
@@ -482,7 +482,7 @@
         at = isOld ? peers.erase(at) : std::next(at);
     }
     heartbeat();
-    loop.after(scopeLimits.nearInterval, [weak = weak_from_this()] {
+    loop.after(scopeLimits.inScopeInterval, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
             self->tick();
         }
@@ -589,7 +589,7 @@
 std::vector<const Peer *> FleetLink::near() const
 {
     std::vector<const Peer *> result = alive();
-    std::erase_if(result, [this](const Peer *peer) { return !d->scope.isNear(peer->zone, peer->scope); });
+    std::erase_if(result, [this](const Peer *peer) { return !d->scope.isScopePeer(peer->zone, peer->scope); });
     return result;
 }
 
--- a/tests/coordination/testfleetscope.cpp
+++ b/tests/coordination/testfleetscope.cpp
@@ -31,11 +31,11 @@
 {
     FleetScope scope(FleetScopeLimits {}, A);
     scope.update(20, { A, B });
-    cr_assert(scope.covers(B) && scope.isNear(B, ZoneId()));
+    cr_assert(scope.covers(B) && scope.isScopePeer(B, ZoneId()));
     scope.update(134, { A, B });
     cr_assert(scope.covers(A) && !scope.covers(B));
-    cr_assert(scope.isNear(A, A) && scope.isNear(A, ZoneId()) && scope.isNear(C, A));
-    cr_assert(!scope.isNear(B, B) && !scope.isNear(A, B));
+    cr_assert(scope.isScopePeer(A, A) && scope.isScopePeer(A, ZoneId()) && scope.isScopePeer(C, A));
+    cr_assert(!scope.isScopePeer(B, B) && !scope.isScopePeer(A, B));
 }
 
 // All engines of a zone are lost. Requests that come to its nodes would be refused for as long as that lasts, while other zones' engines
