--- a/coordination/orderlease.cpp
+++ b/coordination/orderlease.cpp
@@ -48,7 +48,7 @@
     EngineShard shard;
     NodeId self;
     Incarnation incarnation;
-    LeaseStanding standing;
+    LeasePriority standing;
     Time startedAt;
     absl::btree_map<NodeId, Other> others;
     /** Another node's claim was heard last at, and when it said that it gives orders. */
@@ -69,7 +69,7 @@
     Time orderedAt;
 
     /** Whether this node hears more than half of all that it has not forgotten, itself included. */
-    bool hearsMajority(Time now) const
+    bool reachesMajority(Time now) const
     {
         std::size_t all = 1;
         std::size_t heard = 1;
@@ -85,7 +85,7 @@
     }
     bool counts(const Other &other, Time now) const
     {
-        return isRemembered(other, now) || !hearsMajority(now);
+        return isRemembered(other, now) || !reachesMajority(now);
     }
     bool isRemembered(const Other &other, Time now) const
     {
@@ -197,7 +197,7 @@
     }
     Duration ownOrdersIn(Time now) const
     {
-        const Duration silence = limits.turn + limits.margin;
+        const Duration silence = limits.handoverDelay + limits.margin;
         return heldSince == Time::never() ? silence : std::max(othersQuietSince(now) + silence - now, Duration(0));
     }
     void noteHeld(Time now)
@@ -218,7 +218,7 @@
     }
     void forgetOld(Time now)
     {
-        if (!hearsMajority(now)) {
+        if (!reachesMajority(now)) {
             return;
         }
         absl::erase_if(others, [this, now](const auto &entry) { return !isRemembered(entry.second, now); });
@@ -233,7 +233,7 @@
     }
 };
 
-OrderLease::OrderLease(OrderLeaseLimits limits, EngineShard shard, NodeId self, Incarnation incarnation, Time now, LeaseStanding standing)
+OrderLease::OrderLease(OrderLeaseLimits limits, EngineShard shard, NodeId self, Incarnation incarnation, Time now, LeasePriority standing)
     : d(std::make_unique<Private>())
 {
     d->limits = limits;
@@ -397,14 +397,14 @@
     }
     // Without a holder: a claim, and the silence that follows.
     if (holder(now).isEmpty()) {
-        return d->limits.liveness + d->limits.turn + d->limits.margin;
+        return d->limits.liveness + d->limits.handoverDelay + d->limits.margin;
     }
     return std::max(d->otherOrdersFrom - now, Duration(0));
 }
 
-bool OrderLease::hearsMajority(Time now) const
+bool OrderLease::reachesMajority(Time now) const
 {
-    return d->hearsMajority(now);
+    return d->reachesMajority(now);
 }
 
 FencingToken OrderLease::greatestFence() const
@@ -412,7 +412,7 @@
     return d->greatestFence;
 }
 
-int OrderLease::knownCount(Time now) const
+int OrderLease::voterCount(Time now) const
 {
     return static_cast<int>(d->counted(now).size()) + 1;
 }
--- a/coordination/orderlease.h
+++ b/coordination/orderlease.h
@@ -30,7 +30,7 @@
     /** Time between renewals. */
     Duration renewal { 200 };
     /** Orders of two holders must be further apart than this. */
-    Duration turn { 3000 };
+    Duration handoverDelay { 3000 };
     /**
      * A node not heard of for so long no longer counts in the majority, as far as those see it who hear more than half of all. The other
      * side of a partition never forgets: else both sides would lead. A minute outlasts the restarts of a whole fleet.
@@ -45,7 +45,7 @@
 };
 
 /** Where a node stands towards the engines of a shard, by which nodes agree on the one that claims first. */
-struct LeaseStanding
+struct LeasePriority
 {
     /** The availability zone of the shard's engines; empty when they are spread. */
     ZoneId shardZone;
@@ -58,7 +58,7 @@
 class OrderLease
 {
 public:
-    OrderLease(OrderLeaseLimits limits, EngineShard shard, NodeId self, Incarnation incarnation, Time now, LeaseStanding standing = {});
+    OrderLease(OrderLeaseLimits limits, EngineShard shard, NodeId self, Incarnation incarnation, Time now, LeasePriority standing = {});
     OrderLease(OrderLease &&) noexcept;
     ~OrderLease();
 
@@ -87,9 +87,9 @@
     /** How long until the holder gives orders, as far as this node knows: 0 when it does, Time::never()'s distance when there is none. */
     Duration ordersIn(Time now) const;
     /** Whether this node hears more than half of the nodes that it knows of: else it is cut off, and whom it hears may be so, too. */
-    bool hearsMajority(Time now) const;
+    bool reachesMajority(Time now) const;
     /** Nodes that count now, this one included. */
-    int knownCount(Time now) const;
+    int voterCount(Time now) const;
 
 private:
     struct Private;
--- a/main/entry/entrynode.cpp
+++ b/main/entry/entrynode.cpp
@@ -120,7 +120,7 @@
     fleetCallbacks.onRows = [this] { forwarder->onBeliefsChanged(); };
     fleetCallbacks.onLaterConfiguration = [this](const Peer &peer) { peers->fetchFrom(peer); };
     OrderLeaseLimits limits;
-    limits.turn = settings.orderTurn;
+    limits.handoverDelay = settings.orderTurn;
     const auto started = static_cast<std::uint64_t>(clock.wallTime().milliseconds());
     FleetIdentity identity { settings.node, Incarnation((started << 16U) | (std::random_device {}() & 0xffffU)), settings.zone,
         settings.zoneNames(), settings.coreShare, settings.callerAddress, settings.peerAddress, settings.seeds };
@@ -139,7 +139,7 @@
         fleet->tellWants();
         orders->decideSoon();
     };
-    callbacks.nodeCount = [this] { return fleet->lease(EngineShard(0)).knownCount(clock.now()); };
+    callbacks.nodeCount = [this] { return fleet->lease(EngineShard(0)).voterCount(clock.now()); };
     callbacks.isLeaving = [this] { return isLeaving; };
     callbacks.mayTake = [this](Duration longest) {
         const Duration passed = clock.now() - drainStartedAt;
--- a/main/entry/fleetlink.cpp
+++ b/main/entry/fleetlink.cpp
@@ -77,7 +77,7 @@
         for (std::uint64_t index = 0; index < shards.count(); ++index) {
             const EngineShard shard(index);
             leases.emplace_back(limits, shard, this->identity.id, this->identity.incarnation, loop.clock().now(),
-                LeaseStanding { shards.zoneOf(shard), this->identity.zone, this->identity.capacity });
+                LeasePriority { shards.zoneOf(shard), this->identity.zone, this->identity.capacity });
         }
     }
     bool isAlive(const Peer &peer) const
@@ -150,7 +150,7 @@
     message.isLeaving = isLeaving;
     message.releases = released;
     message.uptime = now() - startedAt;
-    message.rememberedNodes = static_cast<std::uint32_t>(leases.front().knownCount(now()));
+    message.rememberedNodes = static_cast<std::uint32_t>(leases.front().voterCount(now()));
     for (const OrderLease &lease : leases) {
         if (const auto order = lease.lastOrder(now())) {
             message.lastOrders.push_back(*order);
@@ -466,7 +466,7 @@
         }
         lastHolders[shard] = holder;
         log.write(Important, "orders", "holder",
-            { { "shard", std::int64_t(shard) }, { "holder", holder.value() }, { "knownNodes", std::int64_t(lease.knownCount(now())) },
+            { { "shard", std::int64_t(shard) }, { "holder", holder.value() }, { "knownNodes", std::int64_t(lease.voterCount(now())) },
                 { "fence", static_cast<std::int64_t>(lease.greatestFence().value()) } });
     }
 }
@@ -569,7 +569,7 @@
 
 std::optional<Duration> FleetLink::ordersIn() const
 {
-    if (!d->leases.front().hearsMajority(d->now())) {
+    if (!d->leases.front().reachesMajority(d->now())) {
         return std::nullopt;
     }
     Duration soonest = Duration::seconds(3600); // Longer than any caller waits.
--- a/tests/coordination/testorderlease.cpp
+++ b/tests/coordination/testorderlease.cpp
@@ -142,7 +142,7 @@
         message.peerAddress = id;
         message.isLeaving = m_nodes[id].isLeaving;
         message.uptime = m_now - m_nodes[id].startedAt;
-        message.rememberedNodes = static_cast<std::uint32_t>(m_nodes[id].lease->knownCount(m_now));
+        message.rememberedNodes = static_cast<std::uint32_t>(m_nodes[id].lease->voterCount(m_now));
         if (const auto order = m_nodes[id].lease->lastOrder(m_now)) {
             message.lastOrders.push_back(*order);
         }
@@ -372,8 +372,8 @@
     for (const char *seed : { "10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1" }) {
         lease.addSeed(seed, start);
     }
-    cr_assert_not(lease.hearsMajority(start + Duration(10)));
-    cr_assert_eq(lease.knownCount(start + Duration(10)), 4, "they count in the majority all the same");
+    cr_assert_not(lease.reachesMajority(start + Duration(10)));
+    cr_assert_eq(lease.voterCount(start + Duration(10)), 4, "they count in the majority all the same");
 }
 
 // Kills, restarts, freezes, cuts, lost datagrams and clocks that jump come one over the other.
