--- a/coordination/storecalls.cpp
+++ b/coordination/storecalls.cpp
@@ -22,29 +22,29 @@
 StoreCallLimits StoreCallLimits::within(Duration bound)
 {
     StoreCallLimits limits;
-    limits.wait = share(bound, 4);
+    limits.longPollTimeout = share(bound, 4);
     limits.patience = share(bound, 8);
     limits.repeatInterval = share(bound, 4);
-    limits.pause = std::min(LongestPause, share(bound, 2));
+    limits.pollDelay = std::min(LongestPause, share(bound, 2));
     limits.lostAfter = share(bound * 5, 8);
     limits.longestRetry = share(bound, 4);
     return limits;
 }
 
-StoreCalls::StoreCalls(StoreCallLimits limits, std::uint64_t seed)
+StoreCallScheduler::StoreCallScheduler(StoreCallLimits limits, std::uint64_t seed)
     : m_limits(limits)
     , m_random(seed)
     , m_retryPause(limits.firstRetry)
 {
 }
 
-Duration StoreCalls::spread(Duration span)
+Duration StoreCallScheduler::spread(Duration span)
 {
     const std::int64_t most = share(span, SpreadDivisor).milliseconds();
     return span + Duration(std::uniform_int_distribution<std::int64_t>(-most, most)(m_random));
 }
 
-void StoreCalls::ask(Duration held, Time now)
+void StoreCallScheduler::ask(Duration held, Time now)
 {
     m_isAsking = true;
     m_open = 0;
@@ -54,7 +54,7 @@
     m_lastSignAt = now;
 }
 
-StoreCallStep StoreCalls::step(Time now)
+StoreCallStep StoreCallScheduler::step(Time now)
 {
     if (!m_isAsking) {
         return StoreCallStep {};
@@ -68,13 +68,13 @@
     return StoreCallStep { true, m_nextCallAt };
 }
 
-void StoreCalls::onProgress(Time now)
+void StoreCallScheduler::onProgress(Time now)
 {
     m_lastSignAt = now;
     m_nextCallAt = std::max(m_nextCallAt, now + m_limits.repeatInterval);
 }
 
-void StoreCalls::onFailed(Time now)
+void StoreCallScheduler::onFailed(Time now)
 {
     m_open -= m_open > 0 ? 1 : 0;
     if (m_open > 0) {
@@ -84,14 +84,14 @@
     m_retryPause = std::min(m_retryPause * 2, m_limits.longestRetry);
 }
 
-void StoreCalls::onAnswered()
+void StoreCallScheduler::onAnswered()
 {
     m_isAsking = false;
     m_open = 0;
     m_retryPause = m_limits.firstRetry;
 }
 
-bool StoreCalls::isOverdue(Time now) const
+bool StoreCallScheduler::isOverdue(Time now) const
 {
     return m_isAsking && now - m_lastSignAt >= m_held + m_limits.lostAfter;
 }
--- a/coordination/storecalls.h
+++ b/coordination/storecalls.h
@@ -19,13 +19,13 @@
 struct StoreCallLimits
 {
     /** How long the store may hold a call until something changes. */
-    Duration wait;
+    Duration longPollTimeout;
     /** Beyond what the store may hold a call, before another one begins beside it. */
     Duration patience;
     /** Between further calls. */
     Duration repeatInterval;
     /** From one question to the next while the store answers: a change waits for so long at most. */
-    Duration pause;
+    Duration pollDelay;
     /** Without a sign of life for so long, the store counts as lost. */
     Duration lostAfter;
     /** After a call that failed at once; doubles up to longestRetry. */
@@ -46,11 +46,11 @@
 };
 
 /** Decides when a node asks the store, and how often while it is not answered. Not thread-safe. */
-class StoreCalls
+class StoreCallScheduler
 {
 public:
     /** @p seed: nodes with different seeds do not ask in step. */
-    StoreCalls(StoreCallLimits limits, std::uint64_t seed);
+    StoreCallScheduler(StoreCallLimits limits, std::uint64_t seed);
 
     /** A new question, which the store may hold for @p held; calls of an earlier one no longer count. */
     void ask(Duration held, Time now);
--- a/main/entry/storecaller.cpp
+++ b/main/entry/storecaller.cpp
@@ -19,7 +19,7 @@
 {
     IoLoop &loop;
     std::string address;
-    StoreCalls calls;
+    StoreCallScheduler calls;
     Callbacks callbacks;
     StoreQuestion question;
     /** Counts questions: what belongs to an earlier one is left aside. */
--- a/main/entry/storecaller.h
+++ b/main/entry/storecaller.h
@@ -25,7 +25,7 @@
     std::function<std::optional<Error>(int, const std::string &)> onAnswer;
 };
 
-/** Puts one question at a time to the platform's store, in as many calls as StoreCalls decides, and takes the first answer. */
+/** Puts one question at a time to the platform's store, in as many calls as StoreCallScheduler decides, and takes the first answer. */
 class StoreCaller
 {
 public:
--- a/main/entry/storereader.cpp
+++ b/main/entry/storereader.cpp
@@ -71,7 +71,7 @@
     std::optional<Error> onWatch(int status, const std::string &body);
     void lose(const std::string &reason);
     void succeed();
-    void watchAfter(Duration pause);
+    void watchAfter(Duration pollDelay);
     void take(const std::vector<Platform::StoreItem> &read, const std::string &source, BeliefChanges &changes);
     void knowUntil(Time moment, BeliefChanges &changes);
     Duration pauseAfterAnswer() const;
@@ -94,9 +94,9 @@
     caller = std::make_unique<StoreCaller>(loop, std::move(address), limits, std::move(callbacks));
 }
 
-void StoreReader::Private::watchAfter(Duration pause)
+void StoreReader::Private::watchAfter(Duration pollDelay)
 {
-    loop.after(pause, [weak = weak_from_this()] {
+    loop.after(pollDelay, [weak = weak_from_this()] {
         const auto self = weak.lock();
         if (self == nullptr) {
             return;
@@ -188,9 +188,9 @@
 {
     askedAt = loop.clock().now();
     StoreQuestion question;
-    question.target = [this] { return Platform::watchTarget("", *watchFrom, limits.wait); };
-    question.held = limits.wait;
-    question.timeout = limits.wait + WatchSlack;
+    question.target = [this] { return Platform::watchTarget("", *watchFrom, limits.longPollTimeout); };
+    question.held = limits.longPollTimeout;
+    question.timeout = limits.longPollTimeout + WatchSlack;
     question.onAnswer = [this](int status, const std::string &body) { return onWatch(status, body); };
     caller->ask(std::move(question));
 }
@@ -228,7 +228,7 @@
 {
     const Time now = loop.clock().now();
     const Time graceOver = beliefs.upstreams.graceUntil() + GraceMargin;
-    const Time next = askedAt + limits.pause;
+    const Time next = askedAt + limits.pollDelay;
     return std::max((now < graceOver ? std::min(next, graceOver) : next) - now, Duration(0));
 }
 
--- a/tests/coordination/teststorecalls.cpp
+++ b/tests/coordination/teststorecalls.cpp
@@ -32,9 +32,9 @@
 Time firstAnswer(const Store &store, std::uint64_t seed, Time asksAt, Time since, Time limit)
 {
     const StoreCallLimits limits = StoreCallLimits::within(Bound);
-    StoreCalls node(limits, seed);
+    StoreCallScheduler node(limits, seed);
     std::vector<Time> open;
-    node.ask(limits.wait, asksAt);
+    node.ask(limits.longPollTimeout, asksAt);
     for (Time now = asksAt; now < limit; now = now + Duration(1)) {
         const bool isAnswered = std::any_of(open.begin(), open.end(), [now](Time at) { return at <= now; });
         if (isAnswered && now >= since) {
@@ -43,7 +43,7 @@
         if (isAnswered) {
             open.clear();
             node.onAnswered();
-            node.ask(limits.wait, now);
+            node.ask(limits.longPollTimeout, now);
         }
         if (node.step(now).isCallDue) {
             open.push_back(store.answersAt(now));
@@ -78,7 +78,7 @@
 // Guards against a large answer over a narrow link that is fetched several times at once, so that none of them comes through.
 Test(storecalls, nothingIsRepeatedWhileAnAnswerComes)
 {
-    StoreCalls node(StoreCallLimits::within(Bound), 1);
+    StoreCallScheduler node(StoreCallLimits::within(Bound), 1);
     node.ask(Duration(0), Start);
     cr_assert(node.step(Start).isCallDue);
     for (Time now = Start; now < Start + Duration(3000); now = now + Duration(50)) {
@@ -92,8 +92,8 @@
 Test(storecalls, callsThatFailAtOnceAreRepeatedWithPauses)
 {
     const StoreCallLimits limits = StoreCallLimits::within(Bound);
-    StoreCalls node(limits, 1);
-    node.ask(limits.wait, Start);
+    StoreCallScheduler node(limits, 1);
+    node.ask(limits.longPollTimeout, Start);
     int calls = 0;
     Time last = Start;
     Duration longest;
@@ -112,10 +112,10 @@
 Test(storecalls, aSilentStoreCountsAsLostBeforeACallFails)
 {
     const StoreCallLimits limits = StoreCallLimits::within(Bound);
-    StoreCalls node(limits, 1);
-    node.ask(limits.wait, Start);
+    StoreCallScheduler node(limits, 1);
+    node.ask(limits.longPollTimeout, Start);
     cr_assert(node.step(Start).isCallDue);
-    cr_assert_not(node.isOverdue(Start + limits.wait + limits.patience));
+    cr_assert_not(node.isOverdue(Start + limits.longPollTimeout + limits.patience));
     cr_assert(node.isOverdue(Start + Bound));
     node.onAnswered();
     cr_assert_not(node.isOverdue(Start + Bound));
@@ -125,6 +125,6 @@
 Test(storecalls, aTighterBoundShortensThePauses)
 {
     const StoreCallLimits limits = StoreCallLimits::within(Duration(600));
-    cr_assert(limits.pause + limits.wait + limits.patience <= Duration(600));
-    cr_assert(StoreCallLimits::within(Bound).pause <= Duration(Bound.milliseconds() / 2));
+    cr_assert(limits.pollDelay + limits.longPollTimeout + limits.patience <= Duration(600));
+    cr_assert(StoreCallLimits::within(Bound).pollDelay <= Duration(Bound.milliseconds() / 2));
 }
