--- a/coordination/storeturns.h
+++ b/coordination/storeturns.h
@@ -16,7 +16,7 @@
 // two, the loss of one costs nobody anything; a node that hears of no reader whose store answers reads by itself at once, so that a store
 // that turns some machines away, or dead readers, delay a change by one lost message at most.
 
-struct StoreTurnLimits
+struct StoreReaderLimits
 {
     std::size_t readers = 2;
     /** After a reader did not hand over what changed. */
@@ -26,7 +26,7 @@
 };
 
 /** A node that shares this one's engines, and what it says of its reading. */
-struct StoreNeighbour
+struct StorePeer
 {
     NodeId id;
     /** Share of a core. */
@@ -39,7 +39,7 @@
 };
 
 /** What to do about the store now. */
-struct StoreTurn
+struct StoreReaderDecision
 {
     bool readsItself = true;
     /** Whom to fetch what changed from; empty when nothing is to be fetched. */
@@ -47,23 +47,23 @@
 };
 
 /** Decides whether this node reads the store or follows another that does. Not thread-safe. */
-class StoreTurns
+class StoreReaderElection
 {
 public:
-    StoreTurns(StoreTurnLimits limits, NodeId self, double capacity);
+    StoreReaderElection(StoreReaderLimits limits, NodeId self, double capacity);
 
     /**
      * @p isDivided: the fleet is large. @p isCurrent: this node has read the whole store once, and its last call was answered.
      * @p neighbours: those that are alive. @p revision: how far this node has read or fetched.
      */
-    StoreTurn decide(bool isDivided, bool isCurrent, std::uint64_t revision, const std::vector<StoreNeighbour> &neighbours, Time now);
+    StoreReaderDecision decide(bool isDivided, bool isCurrent, std::uint64_t revision, const std::vector<StorePeer> &neighbours, Time now);
     void onFetchFailed(Time now);
     void onFetched(Time now);
 
 private:
-    bool isOneOfTheFirst(const std::vector<StoreNeighbour> &neighbours) const;
+    bool isOneOfTheFirst(const std::vector<StorePeer> &neighbours) const;
 
-    StoreTurnLimits m_limits;
+    StoreReaderLimits m_limits;
     NodeId m_self;
     double m_capacity;
     Time m_distrustUntil;
--- a/main/entry/entrynode.cpp
+++ b/main/entry/entrynode.cpp
@@ -63,7 +63,7 @@
     std::unique_ptr<OrderRunner> orders;
     std::unique_ptr<RequestForwarder> forwarder;
     std::unique_ptr<PeerService> peers;
-    StoreTurns storeTurns;
+    StoreReaderElection storeReaderElection;
     /** What the last turn said. */
     bool readsStore = true;
     std::vector<std::unique_ptr<HttpServer>> servers;
@@ -77,7 +77,7 @@
     explicit Private(const Platform::ProcessSettings &settings)
         : settings(settings)
         , log(clock, settings.node.value())
-        , storeTurns(StoreTurnLimits {}, settings.node, settings.coreShare)
+        , storeReaderElection(StoreReaderLimits {}, settings.node, settings.coreShare)
     {
     }
 
@@ -288,13 +288,13 @@
 void EntryNode::Private::followStore()
 {
     const auto near = fleet->near();
-    std::vector<StoreNeighbour> neighbours;
+    std::vector<StorePeer> neighbours;
     neighbours.reserve(near.size());
     for (const Peer *peer : near) {
-        neighbours.push_back(StoreNeighbour { peer->id, peer->capacity, peer->isLeaving, peer->isReadingStore, peer->readRevision });
+        neighbours.push_back(StorePeer { peer->id, peer->capacity, peer->isLeaving, peer->isReadingStore, peer->readRevision });
     }
     const bool isCurrent = store->hasReadAll() && store->silence() == Duration(0);
-    const StoreTurn turn = storeTurns.decide(fleet->isDivided(), isCurrent, store->revision(), neighbours, clock.now());
+    const StoreReaderDecision turn = storeReaderElection.decide(fleet->isDivided(), isCurrent, store->revision(), neighbours, clock.now());
     if (std::exchange(readsStore, turn.readsItself) != turn.readsItself) {
         log.write(EventLog::Weight::Important, "store", "turn",
             { { "reads", turn.readsItself }, { "neighbours", static_cast<std::int64_t>(neighbours.size()) } });
@@ -302,10 +302,10 @@
     store->setFollowing(!turn.readsItself);
     for (const Peer *peer : near) {
         if (peer->id == turn.fetchFrom) {
-            storeTurns.onFetched(clock.now());
+            storeReaderElection.onFetched(clock.now());
             peers->followFrom(*peer, [this](bool hasCome) {
                 if (!hasCome) {
-                    storeTurns.onFetchFailed(clock.now());
+                    storeReaderElection.onFetchFailed(clock.now());
                     followStore();
                 }
             });
--- a/tests/coordination/teststoreturns.cpp
+++ b/tests/coordination/teststoreturns.cpp
@@ -12,11 +12,11 @@
 
 constexpr Time Start { 10'000 };
 
-std::vector<StoreNeighbour> neighbours(int count, double capacity, std::uint64_t revision, bool areReading)
+std::vector<StorePeer> neighbours(int count, double capacity, std::uint64_t revision, bool areReading)
 {
-    std::vector<StoreNeighbour> result;
+    std::vector<StorePeer> result;
     for (int i = 0; i < count; ++i) {
-        result.push_back(StoreNeighbour { NodeId("a" + std::to_string(i)), capacity, false, areReading, revision });
+        result.push_back(StorePeer { NodeId("a" + std::to_string(i)), capacity, false, areReading, revision });
     }
     return result;
 }
@@ -26,14 +26,14 @@
 // A hundred nodes each wait at the store, and every change wakes them all. Operators see the store's rate used up and pay for each call.
 Test(storeturns, aFewReadAndTheOthersFollow)
 {
-    StoreTurns small(StoreTurnLimits {}, NodeId("z"), 0.1);
+    StoreReaderElection small(StoreReaderLimits {}, NodeId("z"), 0.1);
     const auto others = neighbours(30, 0.1, 50, true);
     cr_assert(small.decide(false, true, 40, others, Start).readsItself);
-    const StoreTurn turn = small.decide(true, true, 40, others, Start);
+    const StoreReaderDecision turn = small.decide(true, true, 40, others, Start);
     cr_assert(!turn.readsItself && !turn.fetchFrom.isEmpty());
     cr_assert(small.decide(true, true, 50, others, Start).fetchFrom.isEmpty());
     // The largest nodes read.
-    StoreTurns large(StoreTurnLimits {}, NodeId("z"), 0.5);
+    StoreReaderElection large(StoreReaderLimits {}, NodeId("z"), 0.5);
     cr_assert(large.decide(true, true, 40, others, Start).readsItself);
 }
 
@@ -41,7 +41,7 @@
 // configuration that is no longer in force.
 Test(storeturns, withoutAReaderThatIsAnsweredEachReads)
 {
-    StoreTurns turns(StoreTurnLimits {}, NodeId("z"), 0.1);
+    StoreReaderElection turns(StoreReaderLimits {}, NodeId("z"), 0.1);
     cr_assert(turns.decide(true, true, 40, neighbours(30, 0.1, 50, false), Start).readsItself);
     cr_assert(turns.decide(true, true, 40, {}, Start).readsItself);
     auto leaving = neighbours(2, 0.1, 50, false);
@@ -52,7 +52,7 @@
 // A reader lives but does not hand over what it read. The follower does not ask it again and again: it reads for a while, then tries.
 Test(storeturns, aFailedFetchMakesANodeReadForAWhile)
 {
-    StoreTurns turns(StoreTurnLimits {}, NodeId("z"), 0.1);
+    StoreReaderElection turns(StoreReaderLimits {}, NodeId("z"), 0.1);
     const auto others = neighbours(5, 0.1, 50, true);
     turns.onFetchFailed(Start);
     cr_assert(turns.decide(true, true, 40, others, Start + Duration(2900)).readsItself);
@@ -63,6 +63,6 @@
 // entries may come back; one that followed others at once would drop upstreams that live.
 Test(storeturns, aNodeThatLostTheStoreGoesOnUntilItAnswers)
 {
-    StoreTurns turns(StoreTurnLimits {}, NodeId("z"), 0.1);
+    StoreReaderElection turns(StoreReaderLimits {}, NodeId("z"), 0.1);
     cr_assert(turns.decide(true, false, 40, neighbours(5, 0.1, 50, true), Start).readsItself);
 }
