--- a/bench/configspread.cpp
+++ b/bench/configspread.cpp
@@ -28,30 +28,30 @@
     return sorted[std::min(sorted.size() - 1, static_cast<std::size_t>(share * static_cast<double>(sorted.size())))];
 }
 
-Outcome publishAndMeasure(ConfigWorld &world, int changes)
+Outcome publishAndMeasure(ConfigTestCluster &cluster, int changes)
 {
     Outcome outcome;
-    for (const auto &node : world.nodes) {
+    for (const auto &node : cluster.nodes) {
         node->bytes = 0;
     }
-    const std::uint64_t callsBefore = world.serviceCalls();
-    const Time begin = world.now;
+    const std::uint64_t callsBefore = cluster.serviceCalls();
+    const Time begin = cluster.now;
     std::vector<ConfigVersion> versions;
     for (int i = 0; i < changes; ++i) {
-        versions.push_back(world.publish());
-        world.run(ChangeInterval);
+        versions.push_back(cluster.publish());
+        cluster.run(ChangeInterval);
     }
-    const double seconds = (world.now - begin).toSeconds();
-    outcome.callsASecond = static_cast<double>(world.serviceCalls() - callsBefore) / seconds;
-    world.run(Duration::seconds(60));
+    const double seconds = (cluster.now - begin).toSeconds();
+    outcome.callsASecond = static_cast<double>(cluster.serviceCalls() - callsBefore) / seconds;
+    cluster.run(Duration::seconds(60));
     for (const ConfigVersion version : versions) {
-        const auto spread = world.spread(version);
-        outcome.spreads.insert(outcome.spreads.end(), spread.begin(), spread.end());
+        const auto propagationDelays = cluster.propagationDelays(version);
+        outcome.spreads.insert(outcome.spreads.end(), propagationDelays.begin(), propagationDelays.end());
     }
     std::sort(outcome.spreads.begin(), outcome.spreads.end());
-    for (const auto &node : world.nodes) {
+    for (const auto &node : cluster.nodes) {
         const double bytes = static_cast<double>(node->bytes) / changes;
-        outcome.meanBytes += bytes / static_cast<double>(world.nodes.size());
+        outcome.meanBytes += bytes / static_cast<double>(cluster.nodes.size());
         outcome.maxBytes = std::max(outcome.maxBytes, bytes);
     }
     return outcome;
@@ -72,40 +72,40 @@
 
 void healthy(int nodes)
 {
-    ConfigWorld world(nodes, zonesOf(nodes));
-    world.run(Start);
-    print("service up", nodes, publishAndMeasure(world, ChangeCount));
+    ConfigTestCluster cluster(nodes, zonesOf(nodes));
+    cluster.run(Start);
+    print("service up", nodes, publishAndMeasure(cluster, ChangeCount));
 }
 
 void serviceDownButForOne(int nodes)
 {
-    ConfigWorld world(nodes, zonesOf(nodes));
-    world.run(Start);
+    ConfigTestCluster cluster(nodes, zonesOf(nodes));
+    cluster.run(Start);
     const auto lucky =
-        std::find_if(world.nodes.begin(), world.nodes.end(), [](const auto &node) { return !node->sync->isWatcher(); })->get();
-    world.headFor = [&world, lucky](const auto &node) -> Result<ConfigHead> {
-        return &node == lucky ? Result<ConfigHead>(world.head) : Error { ErrorKind::UpstreamUnreachable, {} };
+        std::find_if(cluster.nodes.begin(), cluster.nodes.end(), [](const auto &node) { return !node->sync->isWatcher(); })->get();
+    cluster.headFor = [&cluster, lucky](const auto &node) -> Result<ConfigHead> {
+        return &node == lucky ? Result<ConfigHead>(cluster.head) : Error { ErrorKind::UpstreamUnreachable, {} };
     };
-    world.valueFor = [&world, lucky](const auto &node, const std::string &hash) -> Result<ConfigValue> {
-        return &node == lucky ? world.stored(hash) : Error { ErrorKind::UpstreamUnreachable, {} };
+    cluster.valueFor = [&cluster, lucky](const auto &node, const std::string &hash) -> Result<ConfigValue> {
+        return &node == lucky ? cluster.stored(hash) : Error { ErrorKind::UpstreamUnreachable, {} };
     };
-    print("up for one node, first change", nodes, publishAndMeasure(world, 1));
-    print("up for one node, then", nodes, publishAndMeasure(world, ChangeCount));
+    print("up for one node, first change", nodes, publishAndMeasure(cluster, 1));
+    print("up for one node, then", nodes, publishAndMeasure(cluster, ChangeCount));
 }
 
 void staleForHalf(int nodes)
 {
-    ConfigWorld world(nodes, zonesOf(nodes));
-    world.run(Start);
-    const ConfigHead old = world.head;
+    ConfigTestCluster cluster(nodes, zonesOf(nodes));
+    cluster.run(Start);
+    const ConfigHead old = cluster.head;
     std::size_t position = 0;
     absl::flat_hash_map<NodeId, bool> isStale;
-    for (const auto &node : world.nodes) {
+    for (const auto &node : cluster.nodes) {
         isStale[node->id] = position++ % 2 == 0;
     }
-    world.headFor = [&world, &isStale, old](
-                        const auto &node) { return isStale.at(node.id) ? Result<ConfigHead>(old) : Result<ConfigHead>(world.head); };
-    print("stale replica for every second node", nodes, publishAndMeasure(world, ChangeCount));
+    cluster.headFor = [&cluster, &isStale, old](
+                          const auto &node) { return isStale.at(node.id) ? Result<ConfigHead>(old) : Result<ConfigHead>(cluster.head); };
+    print("stale replica for every second node", nodes, publishAndMeasure(cluster, ChangeCount));
 }
 
 } // namespace
--- a/tests/coordination/configworld.h
+++ b/tests/coordination/configworld.h
@@ -22,7 +22,7 @@
  * after a fixed time, and rumours as the membership spreads them (the newest version with its first three holders, to three random nodes
  * each 200 ms, as often as four times the decimal logarithm of the fleet). There are no machines, links or queues in it.
  */
-class ConfigWorld
+class ConfigTestCluster
 {
 public:
     struct Node
@@ -68,7 +68,7 @@
     /** How long a peer takes to answer. */
     Duration peerTime { 2 };
 
-    explicit ConfigWorld(int count, int zones = 4, std::uint64_t seed = 1)
+    explicit ConfigTestCluster(int count, int zones = 4, std::uint64_t seed = 1)
         : m_random(seed)
     {
         publishBase(ConfigVersion(1));
@@ -184,7 +184,7 @@
     }
 
     /** Seconds from the publication to the force at each live node, ascending; a day for one that lacks it. */
-    std::vector<double> spread(ConfigVersion version) const
+    std::vector<double> propagationDelays(ConfigVersion version) const
     {
         std::vector<double> all;
         for (const auto &node : nodes) {
