--- a/bench/retries.cpp
+++ b/bench/retries.cpp
@@ -286,10 +286,10 @@
         at.limit.onDropped(m_now);
         m_outliers.onFailure(idOf(attempt.upstream), m_now);
         const Request &request = m_requests[attempt.request];
-        const RetryFacts facts { Repeatability::Idempotent, false, request.attempts, request.arrival + CallerDeadline, true };
+        const RetryContext facts { Idempotency::Idempotent, false, request.attempts, request.arrival + CallerDeadline, true };
         const RetryDecision decision = decideRetry({ phase, kind }, facts, m_retries, m_budget, m_random, m_now);
         if (const auto *again = std::get_if<TryAgain>(&decision)) {
-            post(m_now + again->pause, EventKind::Sent, attempt.request);
+            post(m_now + again->delay, EventKind::Sent, attempt.request);
         }
     }
 
--- a/coordination/attempt.cpp
+++ b/coordination/attempt.cpp
@@ -27,41 +27,41 @@
 Duration jitteredPause(int attempts, const RetryLimits &limits, std::mt19937_64 &random)
 {
     constexpr int MaxDoublings = 16;
-    const std::int64_t doubled = limits.firstPause.milliseconds() << std::min(attempts - 1, MaxDoublings);
-    const std::int64_t cap = std::min(doubled, limits.longestPause.milliseconds());
+    const std::int64_t doubled = limits.initialBackoff.milliseconds() << std::min(attempts - 1, MaxDoublings);
+    const std::int64_t cap = std::min(doubled, limits.maxBackoff.milliseconds());
     return Duration(std::uniform_int_distribution<std::int64_t>(0, std::max<std::int64_t>(cap, 0))(random));
 }
 
 } // namespace
 
-bool isSafeToRepeat(const AttemptFailure &failure, const RetryFacts &facts)
+bool isSafeToRetry(const AttemptFailure &failure, const RetryContext &facts)
 {
-    if (facts.hasCallerBytes) {
+    if (facts.hasSentToCaller) {
         return false;
     }
     // A refusal for a missing adapter comes before execution by the engine's contract.
     const bool hasNotRun = failure.phase == AttemptPhase::Queued || (failure.phase == AttemptPhase::Answered && failure.isAdapterMissing);
-    return hasNotRun || facts.repeatability == Repeatability::Idempotent;
+    return hasNotRun || facts.idempotency == Idempotency::Idempotent;
 }
 
-RetryDecision decideRetry(const AttemptFailure &failure, const RetryFacts &facts, const RetryLimits &limits, RetryBudget &budget,
+RetryDecision decideRetry(const AttemptFailure &failure, const RetryContext &facts, const RetryLimits &limits, RetryBudget &budget,
     std::mt19937_64 &random, Time now)
 {
     const GiveUp giveUp { failure.kind };
-    if (!isSafeToRepeat(failure, facts) || isFinal(failure.kind) || facts.attempts >= limits.maxAttempts) {
+    if (!isSafeToRetry(failure, facts) || isFinal(failure.kind) || facts.attempts >= limits.maxAttempts) {
         return giveUp;
     }
     const bool toOther = facts.hasOtherUpstream && !failure.isAdapterMissing;
     // A reload goes back through the queue at once; all that wait for it share one load.
-    const Duration pause = toOther || failure.isAdapterMissing ? Duration(0) : jitteredPause(facts.attempts, limits, random);
-    if (now + pause >= facts.deadline) {
+    const Duration delay = toOther || failure.isAdapterMissing ? Duration(0) : jitteredPause(facts.attempts, limits, random);
+    if (now + delay >= facts.deadline) {
         return giveUp;
     }
     // A refusal before execution costs the engine nothing, and one restart refuses a whole batch at once: it takes no budget.
     if (!failure.isAdapterMissing && !budget.take(now)) {
         return giveUp;
     }
-    return TryAgain { toOther ? RetryTarget::OtherUpstream : RetryTarget::SameUpstream, pause };
+    return TryAgain { toOther ? RetryTarget::OtherUpstream : RetryTarget::SameUpstream, delay };
 }
 
 Duration timeLeft(Time deadline, Time now)
--- a/coordination/attempt.h
+++ b/coordination/attempt.h
@@ -29,7 +29,7 @@
     Unknown,
 };
 
-enum class Repeatability {
+enum class Idempotency {
     /** Running it twice does no harm. */
     Idempotent,
     /** It must run at most once. */
@@ -46,8 +46,8 @@
 {
     /** Attempts of one request, the first included; at least 1. */
     int maxAttempts = 3;
-    Duration firstPause { 20 };
-    Duration longestPause { 500 };
+    Duration initialBackoff { 20 };
+    Duration maxBackoff { 500 };
 };
 
 /** An attempt that did not succeed. */
@@ -61,11 +61,11 @@
 };
 
 /** What is known of the request whose attempt failed. */
-struct RetryFacts
+struct RetryContext
 {
-    Repeatability repeatability = Repeatability::Idempotent;
+    Idempotency idempotency = Idempotency::Idempotent;
     /** Some byte of an answer went to the caller. */
-    bool hasCallerBytes = false;
+    bool hasSentToCaller = false;
     /** Attempts made so far, at least 1. */
     int attempts = 1;
     Time deadline;
@@ -77,7 +77,7 @@
 {
     RetryTarget target = RetryTarget::SameUpstream;
     /** Wait this long first. */
-    Duration pause;
+    Duration delay;
 };
 struct GiveUp
 {
@@ -86,10 +86,10 @@
 using RetryDecision = std::variant<TryAgain, GiveUp>;
 
 /** Whether running the request again cannot run it twice, as far as @p failure tells. Deadlines and budgets left aside. */
-bool isSafeToRepeat(const AttemptFailure &failure, const RetryFacts &facts);
+bool isSafeToRetry(const AttemptFailure &failure, const RetryContext &facts);
 
 /** Decides what follows a failed attempt. Takes from @p budget only when it says TryAgain. */
-RetryDecision decideRetry(const AttemptFailure &failure, const RetryFacts &facts, const RetryLimits &limits, RetryBudget &budget,
+RetryDecision decideRetry(const AttemptFailure &failure, const RetryContext &facts, const RetryLimits &limits, RetryBudget &budget,
     std::mt19937_64 &random, Time now);
 
 /** The time left until @p deadline for a header of the upstream call, at least 1 ms. */
--- a/main/enginereply.cpp
+++ b/main/enginereply.cpp
@@ -124,7 +124,7 @@
     m_exchange->abort();
 }
 
-bool EngineReply::hasCallerBytes() const
+bool EngineReply::hasSentToCaller() const
 {
     return m_isBegun;
 }
--- a/main/enginereply.h
+++ b/main/enginereply.h
@@ -38,7 +38,7 @@
     /** Ends a stream that the caller has begun to read, visibly broken. */
     void breakOff(const std::string &requestId, const std::string &detail);
 
-    bool hasCallerBytes() const;
+    bool hasSentToCaller() const;
     bool isForeign() const;
     /** Larger than this node holds; the call should be cancelled. */
     bool isTooLarge() const;
--- a/main/enginerunner.cpp
+++ b/main/enginerunner.cpp
@@ -116,7 +116,7 @@
 
     void submit(CompletionJob what);
     void moveWaiting(const AdapterKey &adapter);
-    RetryFacts factsOf(const EngineJob &job);
+    RetryContext factsOf(const EngineJob &job);
     HttpCall callFor(const EngineJobPointer &job);
     bool maySend(const EngineJobPointer &job) const;
     bool onData(const EngineJobPointer &job, std::string_view data);
@@ -364,7 +364,7 @@
 void EngineRunner::Private::moveWaiting(const AdapterKey &adapter)
 {
     for (const EngineJobPointer &job : jobs.waitingFor(adapter)) {
-        const RetryFacts facts = factsOf(*job);
+        const RetryContext facts = factsOf(*job);
         const AttemptFailure failure { AttemptPhase::Queued, ErrorKind::AdapterLoadFailed, false };
         if (!facts.hasOtherUpstream) {
             continue;
@@ -433,7 +433,7 @@
         const absl::MutexLock lock(&mutex);
         if (isFault) {
             limit.onDropped(now);
-        } else if (isWhole && job.reply.hasCallerBytes()) {
+        } else if (isWhole && job.reply.hasSentToCaller()) {
             // Only streams tell the time to the first token; a whole answer's time grows with its length.
             limit.onSample(job.reply.firstByteAt() - job.dispatchedAt, job.inFlight, now);
         }
@@ -476,10 +476,10 @@
         decision);
 }
 
-RetryFacts EngineRunner::Private::factsOf(const EngineJob &job)
+RetryContext EngineRunner::Private::factsOf(const EngineJob &job)
 {
-    RetryFacts facts;
-    facts.hasCallerBytes = job.reply.hasCallerBytes();
+    RetryContext facts;
+    facts.hasSentToCaller = job.reply.hasSentToCaller();
     facts.attempts = job.what.attempts + 1;
     facts.deadline = job.what.work.deadline;
     facts.hasOtherUpstream = parts.router.hasOther(job.what, spec.id);
@@ -494,8 +494,8 @@
     if (how.target == RetryTarget::OtherUpstream) {
         next.tried.push_back(spec.id);
         parts.router.routeToOther(std::move(next));
-    } else if (how.pause > Duration(0)) {
-        paused.add(parts.clock.now() + how.pause, [this, next = std::move(next)] { submit(next); });
+    } else if (how.delay > Duration(0)) {
+        paused.add(parts.clock.now() + how.delay, [this, next = std::move(next)] { submit(next); });
     } else {
         submit(std::move(next));
     }
@@ -522,7 +522,7 @@
     log->info("[{}] caller={} adapter={} upstream={} outcome={} detail='{}' attempts={} ms={}", job->what.requestId, work.caller.value(),
         work.adapter.name(), spec.id.value(), errorAnswer(kind).word, detail, job->what.attempts + 1,
         (parts.clock.now() - work.arrival).milliseconds());
-    if (job->reply.hasCallerBytes()) {
+    if (job->reply.hasSentToCaller()) {
         job->reply.breakOff(job->what.requestId, detail);
         return;
     }
--- a/main/servicerunner.cpp
+++ b/main/servicerunner.cpp
@@ -325,8 +325,8 @@
         return;
     }
     const AttemptFailure failure { result.state == AttemptState::NotSent ? AttemptPhase::Queued : AttemptPhase::Unknown, result.error };
-    RetryFacts facts;
-    facts.repeatability = running->isIdempotent ? Repeatability::Idempotent : Repeatability::NonIdempotent;
+    RetryContext facts;
+    facts.idempotency = running->isIdempotent ? Idempotency::Idempotent : Idempotency::NonIdempotent;
     facts.attempts = running->attempts;
     facts.deadline = running->deadline;
     facts.hasOtherUpstream = running->upstreams.size() > 1;
@@ -341,8 +341,8 @@
 {
     running->body.clear();
     const std::size_t next = running->at + (how.target == RetryTarget::OtherUpstream ? 1 : 0);
-    if (how.pause > Duration(0)) {
-        paused.add(clock.now() + how.pause, [this, running, next] { start(running, next); });
+    if (how.delay > Duration(0)) {
+        paused.add(clock.now() + how.delay, [this, running, next] { start(running, next); });
     } else {
         start(running, next);
     }
--- a/main/upstreamhealth.cpp
+++ b/main/upstreamhealth.cpp
@@ -86,7 +86,7 @@
     return d->outliers.share(upstream, d->clock.now());
 }
 
-RetryDecision UpstreamHealth::decide(const AttemptFailure &failure, const RetryFacts &facts, const std::string &pool)
+RetryDecision UpstreamHealth::decide(const AttemptFailure &failure, const RetryContext &facts, const std::string &pool)
 {
     const Time now = d->clock.now();
     RetryDecision decision;
--- a/main/upstreamhealth.h
+++ b/main/upstreamhealth.h
@@ -29,7 +29,7 @@
     void onRestart(const UpstreamId &upstream);
     /** 0 when ejected, below 1 while it returns slowly. */
     double share(const UpstreamId &upstream) const;
-    RetryDecision decide(const AttemptFailure &failure, const RetryFacts &facts, const std::string &pool);
+    RetryDecision decide(const AttemptFailure &failure, const RetryContext &facts, const std::string &pool);
 
 private:
     struct Private;
--- a/tests/coordination/testupstreamtrouble.cpp
+++ b/tests/coordination/testupstreamtrouble.cpp
@@ -26,15 +26,15 @@
     RetryBudget budget { {}, Time(0) };
     std::mt19937_64 random { 7 };
 
-    bool triesAgain(const AttemptFailure &failure, const RetryFacts &facts, Time now = Time(10))
+    bool triesAgain(const AttemptFailure &failure, const RetryContext &facts, Time now = Time(10))
     {
         return std::holds_alternative<TryAgain>(decideRetry(failure, facts, {}, budget, random, now));
     }
 };
 
-RetryFacts facts(Repeatability repeatability, int attempts = 1)
+RetryContext facts(Idempotency idempotency, int attempts = 1)
 {
-    return { repeatability, false, attempts, Time(10'000), true };
+    return { idempotency, false, attempts, Time(10'000), true };
 }
 
 } // namespace
@@ -67,17 +67,17 @@
     // The service dies after it took the payment. The caller must learn that the outcome is unknown; a second try could charge twice.
     Retrying retrying;
     for (const AttemptPhase phase : { AttemptPhase::Sending, AttemptPhase::Unknown, AttemptPhase::Answered }) {
-        cr_assert_not(retrying.triesAgain({ phase, ErrorKind::UpstreamFailed }, facts(Repeatability::NonIdempotent)));
+        cr_assert_not(retrying.triesAgain({ phase, ErrorKind::UpstreamFailed }, facts(Idempotency::NonIdempotent)));
     }
-    cr_assert(retrying.triesAgain({ AttemptPhase::Queued, ErrorKind::UpstreamUnreachable }, facts(Repeatability::NonIdempotent)));
+    cr_assert(retrying.triesAgain({ AttemptPhase::Queued, ErrorKind::UpstreamUnreachable }, facts(Idempotency::NonIdempotent)));
 }
 
 Test(attempt, anAnswerThatTheCallerHasBegunToReadIsNotBegunAnew)
 {
     // An engine dies in the middle of a stream. Begun anew, the caller would read the first half twice.
     Retrying retrying;
-    RetryFacts begun = facts(Repeatability::Idempotent);
-    begun.hasCallerBytes = true;
+    RetryContext begun = facts(Idempotency::Idempotent);
+    begun.hasSentToCaller = true;
     cr_assert_not(retrying.triesAgain({ AttemptPhase::Unknown, ErrorKind::UpstreamFailed }, begun));
 }
 
@@ -85,10 +85,10 @@
 {
     Retrying retrying;
     const AttemptFailure unreachable { AttemptPhase::Queued, ErrorKind::UpstreamUnreachable };
-    cr_assert_not(retrying.triesAgain(unreachable, facts(Repeatability::Idempotent), Time(10'000)));
-    cr_assert_not(retrying.triesAgain(unreachable, facts(Repeatability::Idempotent, 3)));
-    cr_assert_not(retrying.triesAgain({ AttemptPhase::Queued, ErrorKind::CallerGone }, facts(Repeatability::Idempotent)));
-    cr_assert_not(retrying.triesAgain({ AttemptPhase::Answered, ErrorKind::BadRequest }, facts(Repeatability::Idempotent)));
+    cr_assert_not(retrying.triesAgain(unreachable, facts(Idempotency::Idempotent), Time(10'000)));
+    cr_assert_not(retrying.triesAgain(unreachable, facts(Idempotency::Idempotent, 3)));
+    cr_assert_not(retrying.triesAgain({ AttemptPhase::Queued, ErrorKind::CallerGone }, facts(Idempotency::Idempotent)));
+    cr_assert_not(retrying.triesAgain({ AttemptPhase::Answered, ErrorKind::BadRequest }, facts(Idempotency::Idempotent)));
     cr_assert_eq(timeLeft(Time(10), Time(500)), Duration(1));
 }
 
@@ -97,11 +97,11 @@
     // An engine restarted and lost its adapters: a whole batch is refused at once, before anything ran. Each must get its answer.
     Retrying retrying;
     retrying.budget = RetryBudget({ 0.1, 0, 0 }, Time(0));
-    const auto decision = decideRetry({ AttemptPhase::Answered, ErrorKind::UpstreamRefused, true }, facts(Repeatability::Idempotent), {},
+    const auto decision = decideRetry({ AttemptPhase::Answered, ErrorKind::UpstreamRefused, true }, facts(Idempotency::Idempotent), {},
         retrying.budget, retrying.random, Time(1));
     cr_assert(std::holds_alternative<TryAgain>(decision));
     cr_assert(std::get<TryAgain>(decision).target == RetryTarget::SameUpstream);
-    cr_assert_not(retrying.triesAgain({ AttemptPhase::Queued, ErrorKind::UpstreamUnreachable }, facts(Repeatability::Idempotent)));
+    cr_assert_not(retrying.triesAgain({ AttemptPhase::Queued, ErrorKind::UpstreamUnreachable }, facts(Idempotency::Idempotent)));
 }
 
 // An engine crashed a moment ago and is still listed. Its adapters stand nowhere else, so each waiting request tries it again at each look:
