--- a/coordination/retrybudget.cpp
+++ b/coordination/retrybudget.cpp
@@ -17,7 +17,7 @@
     if (now <= m_refilledAt) {
         return;
     }
-    m_tokens = std::min(m_limits.reserve, m_tokens + (now - m_refilledAt).toSeconds() * m_limits.tricklePerSecond);
+    m_tokens = std::min(m_limits.reserve, m_tokens + (now - m_refilledAt).toSeconds() * m_limits.minRetriesPerSecond);
     m_refilledAt = now;
 }
 
--- a/coordination/retrybudget.h
+++ b/coordination/retrybudget.h
@@ -19,7 +19,7 @@
     /** Retries that can be saved up; also what a fresh budget holds. */
     double reserve = 16;
     /** Retries a second earned without any success. */
-    double tricklePerSecond = 0.5;
+    double minRetriesPerSecond = 0.5;
 };
 
 /** Lets retries be at most a share of the successful traffic. A token bucket; not thread-safe. */
--- a/main/entry/requestforwarder.cpp
+++ b/main/entry/requestforwarder.cpp
@@ -95,7 +95,7 @@
     RetryBudgetLimits limits;
     limits.share = m_settings.retryShare * ShareOfAllowance;
     limits.reserve = std::max(m_settings.retryExtra * ShareOfAllowance / nodes, 1.0);
-    limits.tricklePerSecond = limits.reserve / m_settings.retryWindow.toSeconds() / 2;
+    limits.minRetriesPerSecond = limits.reserve / m_settings.retryWindow.toSeconds() / 2;
     return limits;
 }
 
