--- a/bench/retries.cpp
+++ b/bench/retries.cpp
@@ -298,7 +298,7 @@
     std::mt19937_64 m_random;
     RetryLimits m_retries;
     RetryBudget m_budget;
-    Outliers m_outliers { OutlierLimits {} };
+    OutlierDetector m_outliers { OutlierLimits {} };
     std::vector<Upstream> m_upstreams;
     std::vector<Request> m_requests;
     std::vector<Attempt> m_attempts;
--- a/coordination/outliers.cpp
+++ b/coordination/outliers.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-struct Outliers::Private
+struct OutlierDetector::Private
 {
     OutlierLimits limits;
     absl::flat_hash_map<UpstreamId, Watched> watched;
@@ -56,33 +56,33 @@
                 ++others;
             }
         }
-        return others > 0 && suspect.failing >= sum / others + limits.worseBy;
+        return others > 0 && suspect.failing >= sum / others + limits.failureRateMargin;
     }
     Duration ejectionTime(int ejections) const
     {
         constexpr int MaxDoublings = 16;
-        return std::min(Duration(limits.firstEjection.milliseconds() << std::min(ejections, MaxDoublings)), limits.longestEjection);
+        return std::min(Duration(limits.baseEjectionTime.milliseconds() << std::min(ejections, MaxDoublings)), limits.maxEjectionTime);
     }
     // Called before each outcome: an upstream that stayed well for as long as the longest ejection starts afresh.
     void forgive(Watched &entry, Time now) const
     {
-        if (entry.ejections > 0 && now > entry.lastEjectionEnd + limits.longestEjection) {
+        if (entry.ejections > 0 && now > entry.lastEjectionEnd + limits.maxEjectionTime) {
             entry.ejections = 0;
         }
     }
 };
 
-Outliers::Outliers(OutlierLimits limits)
+OutlierDetector::OutlierDetector(OutlierLimits limits)
     : d(std::make_unique<Private>())
 {
     d->limits = limits;
 }
 
-Outliers::~Outliers() = default;
-Outliers::Outliers(Outliers &&) noexcept = default;
-Outliers &Outliers::operator=(Outliers &&) noexcept = default;
+OutlierDetector::~OutlierDetector() = default;
+OutlierDetector::OutlierDetector(OutlierDetector &&) noexcept = default;
+OutlierDetector &OutlierDetector::operator=(OutlierDetector &&) noexcept = default;
 
-void Outliers::setUpstreams(const std::vector<UpstreamId> &upstreams)
+void OutlierDetector::setUpstreams(const std::vector<UpstreamId> &upstreams)
 {
     absl::flat_hash_map<UpstreamId, Watched> kept;
     for (const UpstreamId &id : upstreams) {
@@ -92,24 +92,24 @@
     d->watched = std::move(kept);
 }
 
-void Outliers::forget(const UpstreamId &upstream)
+void OutlierDetector::remove(const UpstreamId &upstream)
 {
     d->watched.erase(upstream);
 }
 
-void Outliers::onUnreachable(const UpstreamId &upstream, Time now)
+void OutlierDetector::onUnreachable(const UpstreamId &upstream, Time now)
 {
     onFailure(upstream, now);
-    d->watched[upstream].unreachableUntil = now + d->limits.unreachableTime;
+    d->watched[upstream].unreachableUntil = now + d->limits.unreachableBackoff;
 }
 
-bool Outliers::isReachable(const UpstreamId &upstream, Time now) const
+bool OutlierDetector::isReachable(const UpstreamId &upstream, Time now) const
 {
     const auto at = d->watched.find(upstream);
     return at == d->watched.end() || now >= at->second.unreachableUntil;
 }
 
-void Outliers::onSuccess(const UpstreamId &upstream, Time now)
+void OutlierDetector::onSuccess(const UpstreamId &upstream, Time now)
 {
     Watched &entry = d->watched[upstream];
     d->forgive(entry, now);
@@ -117,14 +117,14 @@
     entry.failing -= entry.failing * Newest;
 }
 
-void Outliers::onFailure(const UpstreamId &upstream, Time now)
+void OutlierDetector::onFailure(const UpstreamId &upstream, Time now)
 {
     Watched &entry = d->watched[upstream];
     d->forgive(entry, now);
     ++entry.failuresInRow;
     entry.failing += (1 - entry.failing) * Newest;
     // One that just returned has no credit: a single failure of the first trial ejects it again.
-    const bool isOnTrial = entry.returnedAt != Time() && now < entry.returnedAt + d->limits.rampTime;
+    const bool isOnTrial = entry.returnedAt != Time() && now < entry.returnedAt + d->limits.slowStartTime;
     const bool isOut = entry.failuresInRow >= d->limits.failuresToEject || (isOnTrial && entry.ejections > 0);
     if (!isOut || now < entry.ejectedUntil || !d->mayEjectOneMore(now) || !d->isWorseThanOthers(entry, now)) {
         return;
@@ -136,7 +136,7 @@
     ++entry.ejections;
 }
 
-void Outliers::onRestart(const UpstreamId &upstream, Time now)
+void OutlierDetector::onRestart(const UpstreamId &upstream, Time now)
 {
     Watched &entry = d->watched[upstream];
     if (now >= entry.ejectedUntil) {
@@ -144,13 +144,13 @@
     }
 }
 
-bool Outliers::isEjected(const UpstreamId &upstream, Time now) const
+bool OutlierDetector::isEjected(const UpstreamId &upstream, Time now) const
 {
     const auto at = d->watched.find(upstream);
     return at != d->watched.end() && now < at->second.ejectedUntil;
 }
 
-double Outliers::share(const UpstreamId &upstream, Time now) const
+double OutlierDetector::share(const UpstreamId &upstream, Time now) const
 {
     const auto at = d->watched.find(upstream);
     if (at == d->watched.end() || (at->second.returnedAt == Time() && now >= at->second.ejectedUntil)) {
@@ -159,11 +159,11 @@
     if (now < at->second.ejectedUntil) {
         return 0;
     }
-    const double grown = (now - at->second.returnedAt).toSeconds() / std::max(d->limits.rampTime.toSeconds(), 0.001);
-    return std::clamp(grown, d->limits.startShare, 1.0);
+    const double grown = (now - at->second.returnedAt).toSeconds() / std::max(d->limits.slowStartTime.toSeconds(), 0.001);
+    return std::clamp(grown, d->limits.slowStartShare, 1.0);
 }
 
-int Outliers::ejectedCount(Time now) const
+int OutlierDetector::ejectedCount(Time now) const
 {
     return d->ejectedCount(now);
 }
--- a/coordination/outliers.h
+++ b/coordination/outliers.h
@@ -22,12 +22,12 @@
 {
     /** Failures in a row that eject; at least 1. */
     int failuresToEject = 5;
-    Duration firstEjection = Duration::seconds(5);
-    Duration longestEjection = Duration::seconds(60);
+    Duration baseEjectionTime = Duration::seconds(5);
+    Duration maxEjectionTime = Duration::seconds(60);
     /** Time from the return of an upstream to its full share. */
-    Duration rampTime = Duration::seconds(10);
+    Duration slowStartTime = Duration::seconds(10);
     /** Share at the start of the ramp, above 0 to 1. */
-    double startShare = 0.1;
+    double slowStartShare = 0.1;
     /** Share of all upstreams that may be ejected at once, 0 to 1; one of two or more always may. */
     double maxEjectedShare = 0.34;
     /**
@@ -35,24 +35,24 @@
      * another place meanwhile; without it they try again at each look, and a crashed engine gets thousands of connections while its callers
      * wait.
      */
-    Duration unreachableTime { 300 };
+    Duration unreachableBackoff { 300 };
     /** Only an upstream whose recent share of failures exceeds the mean of the others by this is ejected. */
-    double worseBy = 0.3;
+    double failureRateMargin = 0.3;
 };
 
 /** Watches the outcomes of upstreams and says how much of its share each should get. Not thread-safe. */
-class Outliers
+class OutlierDetector
 {
 public:
-    explicit Outliers(OutlierLimits limits);
-    ~Outliers();
-    Outliers(Outliers &&) noexcept;
-    Outliers &operator=(Outliers &&) noexcept;
+    explicit OutlierDetector(OutlierLimits limits);
+    ~OutlierDetector();
+    OutlierDetector(OutlierDetector &&) noexcept;
+    OutlierDetector &operator=(OutlierDetector &&) noexcept;
 
     /** The upstreams that exist now; others are forgotten. Without this call an upstream is known from its first outcome. */
     void setUpstreams(const std::vector<UpstreamId> &upstreams);
     /** It is gone. Kept, it would count among those ejected, and a sick one could not be ejected any more. */
-    void forget(const UpstreamId &upstream);
+    void remove(const UpstreamId &upstream);
     void onSuccess(const UpstreamId &upstream, Time now);
     /** A failure that the upstream caused: unreachable, cut, timed out, 5xx. Never a refusal that is the caller's fault. */
     void onFailure(const UpstreamId &upstream, Time now);
--- a/main/entry/beliefs.h
+++ b/main/entry/beliefs.h
@@ -35,7 +35,7 @@
     UpstreamBook book;
     /** Which engines this node uses; empty: all. */
     ZoneId engineScope;
-    Outliers outliers { OutlierLimits {} };
+    OutlierDetector outliers { OutlierLimits {} };
 
     /** Whether @p residency was news. */
     bool putRow(const EngineResidency &residency, Time now)
--- a/main/entry/entrynode.cpp
+++ b/main/entry/entrynode.cpp
@@ -216,7 +216,7 @@
                        [](const UpstreamUpdated &) {},
                        [this](const UpstreamLeft &left) {
                            beliefs.forgetRow(left.id);
-                           beliefs.outliers.forget(left.id);
+                           beliefs.outliers.remove(left.id);
                            log.write(EventLog::Weight::Important, "upstream", "left",
                                { { "upstream", left.id.value() }, { "reason", left.reason } });
                        },
--- a/main/upstreamhealth.cpp
+++ b/main/upstreamhealth.cpp
@@ -24,7 +24,7 @@
     Logger log;
     mutable absl::Mutex mutex;
     ConfigVersion version ABSL_GUARDED_BY(mutex);
-    Outliers outliers ABSL_GUARDED_BY(mutex) { OutlierLimits {} };
+    OutlierDetector outliers ABSL_GUARDED_BY(mutex) { OutlierLimits {} };
     absl::flat_hash_map<std::string, RetryBudget> budgets ABSL_GUARDED_BY(mutex);
     std::mt19937_64 random ABSL_GUARDED_BY(mutex);
 
--- a/tests/coordination/testupstreamtrouble.cpp
+++ b/tests/coordination/testupstreamtrouble.cpp
@@ -108,7 +108,7 @@
 // thousands of connections that cannot be made, and no node has time left for the callers that could be served.
 Test(outliers, anUnreachableUpstreamIsLeftAloneForAWhile)
 {
-    Outliers outliers({});
+    OutlierDetector outliers({});
     outliers.setUpstreams(upstreams(9));
     cr_assert(outliers.isReachable(Sick, Time(1000)));
     outliers.onUnreachable(Sick, Time(1000));
@@ -120,14 +120,14 @@
 // one that fails would go on getting requests.
 Test(outliers, thoseThatAreGoneDoNotCountAsEjected)
 {
-    Outliers outliers({});
+    OutlierDetector outliers({});
     for (int old = 0; old < 4; ++old) {
         const UpstreamId gone("gone" + std::to_string(old));
         outliers.onSuccess(UpstreamId("well"), Time(1));
         for (int i = 0; i < 9; ++i) {
             outliers.onFailure(gone, Time(i));
         }
-        outliers.forget(gone);
+        outliers.remove(gone);
     }
     cr_assert_eq(outliers.ejectedCount(Time(10)), 0);
 }
@@ -135,7 +135,7 @@
 Test(outliers, aFailingUpstreamIsEjectedAndReturnsSlowly)
 {
     // One engine of nine hangs. Its callers would each lose an attempt; after its return a full share at once would fail it again.
-    Outliers outliers({});
+    OutlierDetector outliers({});
     outliers.setUpstreams(upstreams(9));
     for (int i = 0; i < 4; ++i) {
         outliers.onFailure(Sick, Time(i));
@@ -143,7 +143,7 @@
     cr_assert_not(outliers.isEjected(Sick, Time(4)));
     outliers.onFailure(Sick, Time(4));
     cr_assert_eq(outliers.share(Sick, Time(5)), 0);
-    const Time back = Time(4) + OutlierLimits {}.firstEjection;
+    const Time back = Time(4) + OutlierLimits {}.baseEjectionTime;
     cr_assert_not(outliers.isEjected(Sick, back));
     cr_assert_float_eq(outliers.share(Sick, back), 0.1, 1e-9);
     cr_assert_float_eq(outliers.share(Sick, back + Duration(5000)), 0.5, 1e-9);
@@ -153,7 +153,7 @@
 Test(outliers, aFlappingUpstreamIsOutForLongerEachTime)
 {
     // An upstream works for a moment after each restart and fails again. Callers would meet it anew every few seconds.
-    Outliers outliers({});
+    OutlierDetector outliers({});
     outliers.setUpstreams(upstreams(9));
     int failures = 0;
     for (int second = 0; second < 600; ++second) {
@@ -170,7 +170,7 @@
 {
     // A bad adapter fails on every engine, or all of them are overloaded. Each ejection would push its load onto the rest, until callers
     // of good adapters find no upstream at all.
-    Outliers outliers({});
+    OutlierDetector outliers({});
     const auto all = upstreams(9);
     outliers.setUpstreams(all);
     for (int i = 0; i < 100; ++i) {
@@ -184,7 +184,7 @@
 Test(outliers, noMoreThanAThirdIsEjectedAndALoneOneNever)
 {
     // Five of nine engines fail at once. The other four cannot bear the load of all; some of the failing ones must go on being tried.
-    Outliers outliers({});
+    OutlierDetector outliers({});
     const auto all = upstreams(9);
     outliers.setUpstreams(all);
     for (int i = 0; i < 100; ++i) {
@@ -194,7 +194,7 @@
     }
     cr_assert_eq(outliers.ejectedCount(Time(100)), 3);
     for (const int count : { 1, 2 }) {
-        Outliers few({});
+        OutlierDetector few({});
         few.setUpstreams(upstreams(count));
         for (int i = 0; i < 100; ++i) {
             few.onFailure(Sick, Time(i));
@@ -205,7 +205,7 @@
 
 Test(outliers, aRestartedUpstreamStartsWithASmallShare)
 {
-    Outliers outliers({});
+    OutlierDetector outliers({});
     outliers.setUpstreams(upstreams(3));
     outliers.onRestart(Sick, Time(1000));
     cr_assert_float_eq(outliers.share(Sick, Time(1000)), 0.1, 1e-9);
--- a/tests/main/testengineplacer.cpp
+++ b/tests/main/testengineplacer.cpp
@@ -64,7 +64,7 @@
     placer.failHome();
     cr_assert(placer.choose({ Lesson })->upstream == candidates[1].upstream);
     cr_assert(placer.choose({ Lesson, { candidates[1].upstream->id } })->upstream == candidates[2].upstream);
-    placer.clock.advance(OutlierLimits {}.firstEjection + OutlierLimits {}.rampTime);
+    placer.clock.advance(OutlierLimits {}.baseEjectionTime + OutlierLimits {}.slowStartTime);
     cr_assert(placer.choose({ Lesson })->upstream == candidates[0].upstream);
 }
 
