--- a/coordination/upstreambook.cpp
+++ b/coordination/upstreambook.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-void UpstreamBook::onSent(const UpstreamId &upstream, std::uint32_t promptTokens)
+void UpstreamLoadTracker::onSent(const UpstreamId &upstream, std::uint32_t promptTokens)
 {
     UpstreamLoad &load = m_own[upstream];
     load.upstream = upstream;
@@ -21,7 +21,7 @@
     load.pendingTokens += promptTokens;
 }
 
-void UpstreamBook::onFirstToken(const UpstreamId &upstream, std::uint32_t promptTokens)
+void UpstreamLoadTracker::onFirstToken(const UpstreamId &upstream, std::uint32_t promptTokens)
 {
     const auto at = m_own.find(upstream);
     if (at != m_own.end()) {
@@ -29,7 +29,7 @@
     }
 }
 
-void UpstreamBook::onEnded(const UpstreamId &upstream, std::uint32_t unreadTokens)
+void UpstreamLoadTracker::onEnded(const UpstreamId &upstream, std::uint32_t unreadTokens)
 {
     onFirstToken(upstream, unreadTokens);
     const auto at = m_own.find(upstream);
@@ -38,7 +38,7 @@
     }
 }
 
-void UpstreamBook::onPeer(const NodeId &peer, const std::vector<UpstreamLoad> &loads, Time now)
+void UpstreamLoadTracker::onPeerLoads(const NodeId &peer, const std::vector<UpstreamLoad> &loads, Time now)
 {
     Peer &known = m_peers[peer];
     subtract(known.loads);
@@ -46,7 +46,7 @@
     add(known.loads);
 }
 
-void UpstreamBook::add(const std::vector<UpstreamLoad> &loads)
+void UpstreamLoadTracker::add(const std::vector<UpstreamLoad> &loads)
 {
     for (const UpstreamLoad &load : loads) {
         FleetLoad &sum = m_ofPeers[load.upstream];
@@ -55,7 +55,7 @@
     }
 }
 
-void UpstreamBook::subtract(const std::vector<UpstreamLoad> &loads)
+void UpstreamLoadTracker::subtract(const std::vector<UpstreamLoad> &loads)
 {
     for (const UpstreamLoad &load : loads) {
         const auto at = m_ofPeers.find(load.upstream);
@@ -71,7 +71,7 @@
     }
 }
 
-void UpstreamBook::forgetSilent(Time now)
+void UpstreamLoadTracker::forgetSilent(Time now)
 {
     if (now - m_sweptAt < SweepInterval) {
         return;
@@ -79,14 +79,14 @@
     m_sweptAt = now;
     for (auto at = m_peers.begin(); at != m_peers.end();) {
         const auto current = at++;
-        if (now - current->second.heardAt > PeerMemory) {
+        if (now - current->second.heardAt > PeerTimeout) {
             subtract(current->second.loads);
             m_peers.erase(current);
         }
     }
 }
 
-FleetLoad UpstreamBook::load(const UpstreamId &upstream, Time now)
+FleetLoad UpstreamLoadTracker::load(const UpstreamId &upstream, Time now)
 {
     forgetSilent(now);
     FleetLoad sum;
@@ -102,7 +102,7 @@
     return sum;
 }
 
-std::vector<UpstreamLoad> UpstreamBook::own() const
+std::vector<UpstreamLoad> UpstreamLoadTracker::own() const
 {
     std::vector<UpstreamLoad> result;
     result.reserve(m_own.size());
--- a/coordination/upstreambook.h
+++ b/coordination/upstreambook.h
@@ -25,18 +25,18 @@
  * A node that counts only its own requests sees a twelfth of an engine's load and sends more to the one that all others chose as well.
  * Sums are kept as messages come: adding up all nodes at each look took a holder of orders more time than it had, with 134 nodes.
  */
-class UpstreamBook
+class UpstreamLoadTracker
 {
 public:
     /** A node not heard of for this long has nothing running any more, or nobody knows: six messages missed. */
-    static constexpr Duration PeerMemory { 1500 };
+    static constexpr Duration PeerTimeout { 1500 };
 
     void onSent(const UpstreamId &upstream, std::uint32_t promptTokens);
     /** The prompt has been read. */
     void onFirstToken(const UpstreamId &upstream, std::uint32_t promptTokens);
     /** @p unreadTokens: the prompt's tokens if it had not been read yet, else 0. */
     void onEnded(const UpstreamId &upstream, std::uint32_t unreadTokens);
-    void onPeer(const NodeId &peer, const std::vector<UpstreamLoad> &loads, Time now);
+    void onPeerLoads(const NodeId &peer, const std::vector<UpstreamLoad> &loads, Time now);
 
     FleetLoad load(const UpstreamId &upstream, Time now);
     /** This node's own part, for the others. */
--- a/main/entry/beliefs.h
+++ b/main/entry/beliefs.h
@@ -32,7 +32,7 @@
     ResidencyTable residencies;
     AdapterLoadEstimator loadEstimator;
     std::map<AdapterRef, KnownVersion> versions;
-    UpstreamBook book;
+    UpstreamLoadTracker book;
     /** Which engines this node uses; empty: all. */
     ZoneId engineScope;
     OutlierDetector outliers { OutlierLimits {} };
--- a/main/entry/fleetlink.cpp
+++ b/main/entry/fleetlink.cpp
@@ -28,7 +28,7 @@
 // Wants of requests that arrive together go out together.
 constexpr Duration WantsDelay { 3 };
 // A peer silent for so long is forgotten.
-constexpr Duration PeerMemory = Duration::seconds(60);
+constexpr Duration PeerTimeout = Duration::seconds(60);
 // Rows in one datagram, by their copies of about a dozen bytes each: they stay below the size that no link cuts.
 constexpr std::size_t CopiesInDatagram = 60;
 constexpr EventLog::Weight Important = EventLog::Weight::Important;
@@ -285,7 +285,7 @@
     for (const std::string &address : message.contacts) {
         const bool isPeer =
             std::any_of(peers.begin(), peers.end(), [&address](const auto &entry) { return entry.second.peerAddress == address; });
-        if (!isPeer && address != identity.peerAddress && contacts.emplace(address, now() + PeerMemory).second) {
+        if (!isPeer && address != identity.peerAddress && contacts.emplace(address, now() + PeerTimeout).second) {
             for (OrderLease &lease : leases) {
                 lease.addSeed(address, now());
             }
@@ -439,7 +439,7 @@
         socket->send(message.peerAddress, encodeFleetMessage(answer));
     }
     if (message.loads) {
-        beliefs.book.onPeer(message.sender, *message.loads, now());
+        beliefs.book.onPeerLoads(message.sender, *message.loads, now());
         callbacks.onUses(message.sender, message.uses);
     } else if (!message.uses.empty()) {
         callbacks.onPendingAdapters(message.sender, message.uses);
@@ -475,7 +475,7 @@
 {
     readClock();
     for (auto at = peers.begin(); at != peers.end();) {
-        const bool isOld = now() - at->second.heardAt > PeerMemory;
+        const bool isOld = now() - at->second.heardAt > PeerTimeout;
         if (isOld) {
             log.write(Important, "fleet", "peer_forgotten", { { "peer", at->first.value() } });
         }
--- a/tests/coordination/testupstreamdirectory.cpp
+++ b/tests/coordination/testupstreamdirectory.cpp
@@ -126,7 +126,7 @@
 {
     std::mt19937_64 random(1);
     std::vector<UpstreamRecord> records { record("a"), record("b"), record("c") };
-    UpstreamBook book;
+    UpstreamLoadTracker book;
     for (int i = 0; i < 30; ++i) {
         std::vector<UpstreamOption> options;
         for (const UpstreamRecord &entry : records) {
@@ -197,8 +197,8 @@
 // Peers that fell silent have nothing running that anybody knows of: their last figures must not weigh for ever.
 Test(upstreambook, silentPeersStopCounting)
 {
-    UpstreamBook book;
-    book.onPeer(NodeId("n"), { UpstreamLoad { UpstreamId("u"), 5, 100 } }, Start);
+    UpstreamLoadTracker book;
+    book.onPeerLoads(NodeId("n"), { UpstreamLoad { UpstreamId("u"), 5, 100 } }, Start);
     cr_assert_eq(book.load(UpstreamId("u"), Start).running, 5);
     cr_assert_eq(book.load(UpstreamId("u"), Start + Duration(1600)).running, 0);
     book.onSent(UpstreamId("u"), 100);
@@ -212,22 +212,22 @@
 {
     const UpstreamId one("one");
     const UpstreamId two("two");
-    UpstreamBook book;
+    UpstreamLoadTracker book;
     std::mt19937_64 random(11);
     Time now = Start;
     for (int round = 0; round < 2000; ++round) {
         now = now + Duration(7);
         const NodeId peer("node-" + std::to_string(random() % 20));
         const auto figure = [&random] { return static_cast<std::uint32_t>(random() % 4); };
-        book.onPeer(
+        book.onPeerLoads(
             peer, { UpstreamLoad { one, figure(), 1000 * figure() }, UpstreamLoad { one, figure(), 0 }, UpstreamLoad { two, 0, 0 } }, now);
         cr_assert_geq(book.load(one, now).running, 0);
     }
     for (int peer = 0; peer < 20; ++peer) {
-        book.onPeer(NodeId("node-" + std::to_string(peer)), { UpstreamLoad { one, 2, 50 } }, now);
+        book.onPeerLoads(NodeId("node-" + std::to_string(peer)), { UpstreamLoad { one, 2, 50 } }, now);
     }
     cr_assert_eq(book.load(one, now).running, 40);
     cr_assert_eq(book.load(one, now).pendingTokens, 1000);
-    cr_assert_eq(book.load(one, now + UpstreamBook::PeerMemory + Duration(200)).running, 0);
+    cr_assert_eq(book.load(one, now + UpstreamLoadTracker::PeerTimeout + Duration(200)).running, 0);
     cr_assert_eq(book.load(two, now).running, 0);
 }
