--- a/coordination/upstreamchoice.cpp
+++ b/coordination/upstreamchoice.cpp
@@ -47,7 +47,7 @@
     std::max_element(options.begin(), options.end(), isLess)->keptTokens = sharedTokens;
 }
 
-Duration expectedFirstToken(const UpstreamOption &option, std::uint32_t promptTokens, const ChoiceFigures &figures)
+Duration expectedTimeToFirstToken(const UpstreamOption &option, std::uint32_t promptTokens, const ChoiceParameters &figures)
 {
     const double unread = std::max(promptTokens - option.keptTokens, 0.0);
     const double reading = (option.load.pendingTokens + unread) / figures.promptTokensPerMs;
@@ -55,14 +55,14 @@
 }
 
 const UpstreamOption *chooseEngine(
-    const std::vector<UpstreamOption> &options, std::uint32_t promptTokens, const ChoiceFigures &figures, std::mt19937_64 &random)
+    const std::vector<UpstreamOption> &options, std::uint32_t promptTokens, const ChoiceParameters &figures, std::mt19937_64 &random)
 {
     return cheapest(options, random, [promptTokens, &figures](const UpstreamOption &option) {
-        return static_cast<double>(expectedFirstToken(option, promptTokens, figures).milliseconds()) + 1;
+        return static_cast<double>(expectedTimeToFirstToken(option, promptTokens, figures).milliseconds()) + 1;
     });
 }
 
-const UpstreamOption *chooseService(const std::vector<UpstreamOption> &options, const ChoiceFigures &figures, std::mt19937_64 &random)
+const UpstreamOption *chooseService(const std::vector<UpstreamOption> &options, const ChoiceParameters &figures, std::mt19937_64 &random)
 {
     return cheapest(options, random, [&figures](const UpstreamOption &option) {
         return (option.load.running + 1) / std::max(option.record->slots, 1) + (option.isNear ? 0 : figures.farCost);
--- a/coordination/upstreamchoice.h
+++ b/coordination/upstreamchoice.h
@@ -32,7 +32,7 @@
     double keptTokens = 0;
 };
 
-struct ChoiceFigures
+struct ChoiceParameters
 {
     /** Tokens of prompts that an engine reads in a millisecond. */
     double promptTokensPerMs = 38;
@@ -52,13 +52,13 @@
 void creditSharedPrefix(std::vector<UpstreamOption> &options, std::string_view sharedPrefix, std::uint32_t sharedTokens);
 
 /** How long a prompt of @p promptTokens would wait for its first token at @p option. */
-Duration expectedFirstToken(const UpstreamOption &option, std::uint32_t promptTokens, const ChoiceFigures &figures);
+Duration expectedTimeToFirstToken(const UpstreamOption &option, std::uint32_t promptTokens, const ChoiceParameters &figures);
 
 /** The engine with the earliest first token, by chance among equals; null when there is none. Ejected ones only if all are. */
 const UpstreamOption *chooseEngine(
-    const std::vector<UpstreamOption> &options, std::uint32_t promptTokens, const ChoiceFigures &figures, std::mt19937_64 &random);
+    const std::vector<UpstreamOption> &options, std::uint32_t promptTokens, const ChoiceParameters &figures, std::mt19937_64 &random);
 
 /** The upstream of a plain service with the most room, by chance among equals; null when there is none. Ejected ones only if all are. */
-const UpstreamOption *chooseService(const std::vector<UpstreamOption> &options, const ChoiceFigures &figures, std::mt19937_64 &random);
+const UpstreamOption *chooseService(const std::vector<UpstreamOption> &options, const ChoiceParameters &figures, std::mt19937_64 &random);
 
 } // namespace ApricotStep
--- a/main/entry/requestjob.cpp
+++ b/main/entry/requestjob.cpp
@@ -220,11 +220,11 @@
     if (m_decoded.generation) {
         creditSharedPrefix(found, m_decoded.generation->sharedPrefix, m_decoded.generation->sharedTokens);
     }
-    const ChoiceFigures figures;
+    const ChoiceParameters figures;
     const UpstreamOption *chosen = m_decoded.generation ? chooseEngine(found, promptTokens(), figures, m_context.random())
                                                         : chooseService(found, figures, m_context.random());
     if (chosen != nullptr) {
-        if (needsAdapter() && expectedFirstToken(*chosen, 0, figures) > fetches(CrowdedWait)) {
+        if (needsAdapter() && expectedTimeToFirstToken(*chosen, 0, figures) > fetches(CrowdedWait)) {
             m_context.noteCrowded(adapter());
         }
         send(*chosen->record);
