--- a/coordination/upstreamdirectory.cpp
+++ b/coordination/upstreamdirectory.cpp
@@ -61,7 +61,7 @@
     m_graceUntil = now + m_limits.graceAfterOutage;
 }
 
-std::vector<UpstreamChange> UpstreamDirectory::endGraces(Time knownUntil)
+std::vector<UpstreamChange> UpstreamDirectory::endGracePeriods(Time knownUntil)
 {
     std::vector<UpstreamChange> changes;
     for (auto at = m_entries.begin(); at != m_entries.end();) {
--- a/coordination/upstreamdirectory.h
+++ b/coordination/upstreamdirectory.h
@@ -58,9 +58,9 @@
     /** The store answers again after it did not; entries missing from now until the grace ends may come back. */
     void onStoreRegained(Time now);
     /** All that the store listed at @p knownUntil is known: what was missing then, and had its grace before, is gone. */
-    std::vector<UpstreamChange> endGraces(Time knownUntil);
+    std::vector<UpstreamChange> endGracePeriods(Time knownUntil);
     /** When the grace of the last outage ends. */
-    Time graceUntil() const
+    Time gracePeriodEnd() const
     {
         return m_graceUntil;
     }
--- a/main/entry/storereader.cpp
+++ b/main/entry/storereader.cpp
@@ -227,7 +227,7 @@
 Duration StoreReader::Private::pauseAfterAnswer() const
 {
     const Time now = loop.clock().now();
-    const Time graceOver = beliefs.upstreams.graceUntil() + GraceMargin;
+    const Time graceOver = beliefs.upstreams.gracePeriodEnd() + GraceMargin;
     const Time next = askedAt + limits.pollDelay;
     return std::max((now < graceOver ? std::min(next, graceOver) : next) - now, Duration(0));
 }
@@ -235,7 +235,7 @@
 void StoreReader::Private::knowUntil(Time moment, BeliefChanges &changes)
 {
     knownUntil = std::max(knownUntil, moment);
-    for (UpstreamChange &change : beliefs.upstreams.endGraces(knownUntil)) {
+    for (UpstreamChange &change : beliefs.upstreams.endGracePeriods(knownUntil)) {
         changes.upstreams.push_back(std::move(change));
     }
 }
--- a/tests/coordination/testupstreamdirectory.cpp
+++ b/tests/coordination/testupstreamdirectory.cpp
@@ -58,7 +58,7 @@
     directory.remove(UpstreamId("v"), "not listed", Start + Duration(20));
     cr_assert_eq(usableCount(directory), 2);
     directory.put(record("u"), Start + Duration(1500));
-    directory.endGraces(Start + Duration(2100));
+    directory.endGracePeriods(Start + Duration(2100));
     cr_assert_eq(usableCount(directory), 1);
     cr_assert_not_null(directory.usable(UpstreamId("u")));
 }
@@ -73,10 +73,10 @@
     directory.remove(UpstreamId("back"), "lapsed", Start + Duration(10));
     directory.remove(UpstreamId("gone"), "lapsed", Start + Duration(10));
     // The node's readings: one before the entry is back, one after it.
-    directory.endGraces(Start + Duration(1000));
+    directory.endGracePeriods(Start + Duration(1000));
     cr_assert_eq(usableCount(directory), 2);
     directory.put(record("back"), Start + Duration(2500));
-    cr_assert_eq(directory.endGraces(Start + Duration(2500)).size(), 1);
+    cr_assert_eq(directory.endGracePeriods(Start + Duration(2500)).size(), 1);
     cr_assert_not_null(directory.usable(UpstreamId("back")));
     cr_assert_null(directory.usable(UpstreamId("gone")));
 }
