--- a/coordination/ledger.cpp
+++ b/coordination/ledger.cpp
@@ -50,7 +50,7 @@
 {
     Duration lifetime;
     std::size_t capacity = 1;
-    LedgerBytes limits;
+    LedgerMemoryLimits limits;
     std::size_t bytes = 0;
     bool isAccepting = true;
     bool isSealed = false;
@@ -81,7 +81,7 @@
     }
 };
 
-Ledger::Ledger(Duration lifetime, std::size_t capacity, LedgerBytes limits)
+Ledger::Ledger(Duration lifetime, std::size_t capacity, LedgerMemoryLimits limits)
     : d(std::make_unique<Private>())
 {
     d->lifetime = lifetime;
--- a/coordination/ledger.h
+++ b/coordination/ledger.h
@@ -67,7 +67,7 @@
 };
 
 /** Memory that a ledger may take. */
-struct LedgerBytes
+struct LedgerMemoryLimits
 {
     std::size_t total = 32U << 20U;
     /** An answer with a longer body is stored as its status, hash and size. */
@@ -89,7 +89,7 @@
 {
 public:
     /** @p lifetime: how long a key is good for; @p capacity: entries kept at most, at least 1. */
-    Ledger(Duration lifetime, std::size_t capacity, LedgerBytes limits = {});
+    Ledger(Duration lifetime, std::size_t capacity, LedgerMemoryLimits limits = {});
     ~Ledger();
 
     /** Decides on an arrival under @p key with a body of hash @p bodyHash at steady time @p now. */
--- a/main/onetimerequests.cpp
+++ b/main/onetimerequests.cpp
@@ -28,7 +28,7 @@
 
 struct Shard
 {
-    Shard(Duration lifetime, std::size_t capacity, LedgerBytes bytes)
+    Shard(Duration lifetime, std::size_t capacity, LedgerMemoryLimits bytes)
         : ledger(lifetime, capacity, bytes)
     {
     }
@@ -53,7 +53,7 @@
         , handOffs(lifetime)
     {
         const auto capacity = static_cast<std::size_t>(settings.number("keys.capacity")) / ShardCount;
-        const LedgerBytes limits { maxBytes / ShardCount, static_cast<std::size_t>(settings.number("keys.max_answer_bytes")) };
+        const LedgerMemoryLimits limits { maxBytes / ShardCount, static_cast<std::size_t>(settings.number("keys.max_answer_bytes")) };
         for (auto &shard : shards) {
             shard = std::make_unique<Shard>(lifetime, std::max<std::size_t>(capacity, 1), limits);
         }
