--- a/coordination/ownership.cpp
+++ b/coordination/ownership.cpp
@@ -125,7 +125,7 @@
     if (ownedSince != Time::never() && !isAsking && now >= nextAsk) {
         isAsking = true;
         nextAsk = now + limits.pollInterval;
-        actions.emplace_back(AskReport {});
+        actions.emplace_back(RequestReport {});
     }
 }
 
@@ -218,7 +218,7 @@
     EvictionRule next { mayEvictAny(now), report.inUse };
     if (!rule.has_value() || rule->mayEvict != next.mayEvict || rule->inUseElsewhere != next.inUseElsewhere) {
         rule = next;
-        actions.emplace_back(RuleChanged { std::move(next) });
+        actions.emplace_back(EvictionRuleChanged { std::move(next) });
     }
 }
 
--- a/coordination/ownership.h
+++ b/coordination/ownership.h
@@ -25,7 +25,7 @@
     /** Low bits of this node's fencing tokens. */
     std::uint16_t number = 0;
 };
-/** The upstream's answer to AskReport. */
+/** The upstream's answer to RequestReport. */
 struct OwnershipReport
 {
     /** The earliest moment that the report may speak of, on this node's clock: when it was asked for, less the upstream's lag. */
@@ -57,7 +57,7 @@
 // Actions.
 
 /** Ask the upstream for a report; answered by OwnershipReport or ReportFailed. */
-struct AskReport
+struct RequestReport
 {
 };
 /** Give the upstream an order without effect under @p token, so that it knows it. */
@@ -66,11 +66,11 @@
     FencingToken token;
 };
 /** What the scheduler must keep to from now on. */
-struct RuleChanged
+struct EvictionRuleChanged
 {
     EvictionRule rule;
 };
-using OwnershipAction = std::variant<AskReport, Claim, RuleChanged>;
+using OwnershipAction = std::variant<RequestReport, Claim, EvictionRuleChanged>;
 
 struct OwnershipLimits
 {
--- a/main/upstreamguard.cpp
+++ b/main/upstreamguard.cpp
@@ -69,9 +69,9 @@
     UpstreamOwnership ownership ABSL_GUARDED_BY(mutex);
 
     void handle(const OwnershipEvent &event);
-    void carryOut(const AskReport &action);
+    void carryOut(const RequestReport &action);
     void carryOut(const Claim &action);
-    void carryOut(const RuleChanged &action);
+    void carryOut(const EvictionRuleChanged &action);
     void tick();
     void takeReport(Time askedAt, const CallResult &result, const std::string &body);
     HttpCall call(std::string_view path) const;
@@ -116,7 +116,7 @@
     return call;
 }
 
-void UpstreamGuard::Private::carryOut(const AskReport &)
+void UpstreamGuard::Private::carryOut(const RequestReport &)
 {
     const Time askedAt = clock.now();
     auto body = std::make_shared<std::string>();
@@ -176,7 +176,7 @@
     client.start(std::move(claim));
 }
 
-void UpstreamGuard::Private::carryOut(const RuleChanged &action)
+void UpstreamGuard::Private::carryOut(const EvictionRuleChanged &action)
 {
     listener(action.rule);
 }
--- a/tests/coordination/testownership.cpp
+++ b/tests/coordination/testownership.cpp
@@ -44,10 +44,10 @@
     void handle(const OwnershipEvent &event)
     {
         for (const OwnershipAction &action : ownership.handle(event, now)) {
-            if (std::holds_alternative<AskReport>(action) && isReachable) {
+            if (std::holds_alternative<RequestReport>(action) && isReachable) {
                 const auto told = tellsToken ? std::optional(highest) : std::nullopt;
                 handle(OwnershipReport { now, told, loaded, inUse });
-            } else if (std::holds_alternative<AskReport>(action)) {
+            } else if (std::holds_alternative<RequestReport>(action)) {
                 handle(ReportFailed {});
             } else if (const auto *claim = std::get_if<Claim>(&action)) {
                 ++claims;
--- a/tests/fakes/exploration.cpp
+++ b/tests/fakes/exploration.cpp
@@ -1016,11 +1016,11 @@
     const auto actions = node.runners[engine].ownership->handle(event, clockOf(node));
     m_result.takeovers += before == Time::never() && node.runners[engine].ownership->ownedSince() != Time::never() ? 1 : 0;
     for (const OwnershipAction &action : actions) {
-        if (std::holds_alternative<AskReport>(action)) {
+        if (std::holds_alternative<RequestReport>(action)) {
             askReport(index, engine);
         } else if (const auto *wanted = std::get_if<Claim>(&action)) {
             claim(index, engine, wanted->token);
-        } else if (const auto *rule = std::get_if<RuleChanged>(&action)) {
+        } else if (const auto *rule = std::get_if<EvictionRuleChanged>(&action)) {
             const EvictionRule open { true, {} };
             schedulerEvent(index, engine, isLeftOut(Guard::EvictionWait) ? open : rule->rule);
         }
