--- a/bench/decisions/run.cpp
+++ b/bench/decisions/run.cpp
@@ -96,8 +96,8 @@
     void ended(std::uint64_t request);
     void arrive(std::size_t request);
     void handle(int engine, const SchedulerEvent &event);
-    void carryOut(int engine, const AskPermit &action);
-    void carryOut(int engine, const ReturnPermit &action);
+    void carryOut(int engine, const RequestPermit &action);
+    void carryOut(int engine, const ReleasePermit &action);
     void carryOut(int engine, const StartLoad &action);
     void carryOut(int engine, const StartEvict &action);
     void carryOut(int engine, const Dispatch &action);
@@ -255,19 +255,19 @@
     return { NodeId("node"), UpstreamId(std::to_string(engine)), adapter };
 }
 
-void Run::carryOut(int engine, const AskPermit &action)
+void Run::carryOut(int engine, const RequestPermit &action)
 {
     m_loop.after(MessageDelay, [this, engine, action] {
         m_giver.request({ permitName(engine, action.adapter), action.urgency, action.waiting, action.waited }, timeAt(m_loop.now()));
         sendGrants();
         if (action.urgency.has_value()) {
-            const PermitExpected expected { *action.urgency, m_giver.expectedWait(action.urgency) };
+            const PermitWaitEstimated expected { *action.urgency, m_giver.expectedWait(action.urgency) };
             m_loop.after(MessageDelay, [this, engine, expected] { handle(engine, expected); });
         }
     });
 }
 
-void Run::carryOut(int engine, const ReturnPermit &action)
+void Run::carryOut(int engine, const ReleasePermit &action)
 {
     m_loop.after(MessageDelay, [this, engine, action] {
         m_giver.release({ permitName(engine, action.adapter), action.end }, timeAt(m_loop.now()));
--- a/coordination/upstreamscheduler.cpp
+++ b/coordination/upstreamscheduler.cpp
@@ -142,7 +142,7 @@
     void on(const EvictFinished &event, Time now);
     void on(const UpstreamRestarted &event, Time now);
     void on(const PermitGranted &event, Time now);
-    void on(const PermitExpected &event, Time now);
+    void on(const PermitWaitEstimated &event, Time now);
     void on(const LoadReport &event, Time now);
     void on(const EvictionRule &event, Time now);
     void on(const BatchLimited &event, Time now);
@@ -257,7 +257,7 @@
     const AdapterDemand demand = mayLoad ? queue.demand(adapter) : AdapterDemand {};
     order.update(adapter, demand, now);
     if (demand.waiting == 0 && asks.erase(adapter) > 0) {
-        actions.emplace_back(ReturnPermit { adapter, PermitEnd::Withdrawn });
+        actions.emplace_back(ReleasePermit { adapter, PermitEnd::Withdrawn });
     }
 }
 
@@ -307,7 +307,7 @@
     loadsInFlight = std::max(0, loadsInFlight - 1);
     const auto permit = usedPermits.find(event.adapter);
     if (permit != usedPermits.end()) {
-        actions.emplace_back(ReturnPermit { permit->second, PermitEnd::Used });
+        actions.emplace_back(ReleasePermit { permit->second, PermitEnd::Used });
         usedPermits.erase(permit);
     }
     const OrderOutcome outcome = outcomeOf(event.isLoaded, event.isUnknown);
@@ -350,7 +350,7 @@
     permits.push_back({ event.adapter, event.expiry });
 }
 
-void UpstreamScheduler::Private::on(const PermitExpected &event, Time now)
+void UpstreamScheduler::Private::on(const PermitWaitEstimated &event, Time now)
 {
     const auto index = static_cast<std::size_t>(levelOf(event.urgency));
     permitWait[index] = event.wait;
@@ -447,7 +447,7 @@
         if (permit.expiry > now) {
             return false;
         }
-        actions.emplace_back(ReturnPermit { permit.askedFor, PermitEnd::Unused });
+        actions.emplace_back(ReleasePermit { permit.askedFor, PermitEnd::Unused });
         return true;
     });
 }
@@ -510,7 +510,7 @@
         usedPermits[adapter] = own->askedFor;
         permits.erase(own);
         if (asks.erase(adapter) > 0) {
-            actions.emplace_back(ReturnPermit { adapter, PermitEnd::Withdrawn });
+            actions.emplace_back(ReleasePermit { adapter, PermitEnd::Withdrawn });
         }
     }
     actions.emplace_back(StartLoad { adapter });
@@ -570,7 +570,7 @@
         return;
     }
     for (const HeldPermit &permit : permits) {
-        actions.emplace_back(ReturnPermit { permit.askedFor, PermitEnd::Unused });
+        actions.emplace_back(ReleasePermit { permit.askedFor, PermitEnd::Unused });
     }
     permits.clear();
 }
@@ -578,7 +578,7 @@
 void UpstreamScheduler::Private::askPermit(const AdapterKey &adapter, const Ask &ask, Duration waited)
 {
     asks[adapter] = ask;
-    actions.emplace_back(AskPermit { adapter, ask.urgency, ask.waiting, waited });
+    actions.emplace_back(RequestPermit { adapter, ask.urgency, ask.waiting, waited });
 }
 
 void UpstreamScheduler::Private::askPermits(Time now)
--- a/coordination/upstreamscheduler.h
+++ b/coordination/upstreamscheduler.h
@@ -52,14 +52,14 @@
 struct UpstreamRestarted
 {
 };
-/** A load that was asked for with AskPermit may start, until it expires. */
+/** A load that was asked for with RequestPermit may start, until it expires. */
 struct PermitGranted
 {
     AdapterKey adapter;
     Time expiry;
 };
 /** How long a load that is asked for now will wait for its permit, as the giver sees it. */
-struct PermitExpected
+struct PermitWaitEstimated
 {
     Priority urgency = Priority::Standard;
     Duration wait;
@@ -91,12 +91,12 @@
 {
 };
 using SchedulerEvent = std::variant<WorkArrived, WorkCancelled, WorkFinished, LoadFinished, EvictFinished, UpstreamRestarted, PermitGranted,
-    PermitExpected, LoadReport, EvictionRule, BatchLimited, Tick>;
+    PermitWaitEstimated, LoadReport, EvictionRule, BatchLimited, Tick>;
 
 // Actions.
 
 /** Asks for the fleet's leave to load. Answered by PermitGranted, in its own time. */
-struct AskPermit
+struct RequestPermit
 {
     AdapterKey adapter;
     /** The most urgent class that waits for it; empty for a prefetch. */
@@ -107,9 +107,9 @@
     Duration waited;
 };
 /** A permit, or the wish for one, ends. */
-struct ReturnPermit
+struct ReleasePermit
 {
-    /** As in the AskPermit. */
+    /** As in the RequestPermit. */
     AdapterKey adapter;
     PermitEnd end = PermitEnd::Used;
 };
@@ -133,7 +133,7 @@
     /** When the caller should come back; zero means no advice. */
     Duration retryAfter;
 };
-using SchedulerAction = std::variant<AskPermit, ReturnPermit, StartLoad, StartEvict, Dispatch, Refuse>;
+using SchedulerAction = std::variant<RequestPermit, ReleasePermit, StartLoad, StartEvict, Dispatch, Refuse>;
 
 struct SchedulerLimits
 {
@@ -143,7 +143,7 @@
     int batch = 16;
     /** Expected time of one load. */
     Duration loadTime { 250 };
-    /** Whether a load needs a permit of the fleet (AskPermit) before StartLoad. */
+    /** Whether a load needs a permit of the fleet (RequestPermit) before StartLoad. */
     bool needsPermits = false;
     /** Loads in flight at once on this engine when no permits are needed. */
     int parallelLoads = 2;
--- a/main/enginerunner.cpp
+++ b/main/enginerunner.cpp
@@ -103,8 +103,8 @@
     void release(RequestId id, ErrorKind kind);
     void finishEvict(const AdapterKey &adapter, const OrderResult &result);
     void handle(const SchedulerEvent &event);
-    void carryOut(const AskPermit &action);
-    void carryOut(const ReturnPermit &action);
+    void carryOut(const RequestPermit &action);
+    void carryOut(const ReleasePermit &action);
     void carryOut(const StartLoad &action);
     void carryOut(const StartEvict &action);
     void carryOut(const Dispatch &action);
@@ -175,14 +175,14 @@
     parts.client.start(std::move(call));
 }
 
-void EngineRunner::Private::carryOut(const AskPermit &action)
+void EngineRunner::Private::carryOut(const RequestPermit &action)
 {
     if (parts.permits != nullptr) {
         parts.permits->requestPermit(spec.id, action);
     }
 }
 
-void EngineRunner::Private::carryOut(const ReturnPermit &action)
+void EngineRunner::Private::carryOut(const ReleasePermit &action)
 {
     if (parts.permits != nullptr) {
         parts.permits->release(spec.id, action);
--- a/main/enginerunner.h
+++ b/main/enginerunner.h
@@ -47,7 +47,7 @@
     EngineRunner(const UpstreamSpec &spec, const EngineParts &parts);
     ~EngineRunner();
 
-    /** An answer to a wish for a load permit: PermitGranted or PermitExpected. */
+    /** An answer to a wish for a load permit: PermitGranted or PermitWaitEstimated. */
     void permitAnswered(const SchedulerEvent &event);
     /** Takes a job; it ends with an answer on its exchange. */
     void submit(CompletionJob job);
--- a/main/permitrunner.cpp
+++ b/main/permitrunner.cpp
@@ -120,7 +120,7 @@
         answerTo(message, now, errands);
         if (const auto *request = std::get_if<PermitRequest>(&message); request != nullptr && request->urgency.has_value()) {
             const PermitWaitEstimate outlook = outlookFor(*request);
-            errands.answers.push_back({ outlook.name.upstream, PermitExpected { *outlook.urgency, outlook.wait } });
+            errands.answers.push_back({ outlook.name.upstream, PermitWaitEstimated { *outlook.urgency, outlook.wait } });
         }
     }
 }
@@ -208,7 +208,7 @@
 void PermitRunner::Private::tellEngine(const PermitWaitEstimate &outlook)
 {
     if (outlook.urgency.has_value()) {
-        handler(outlook.name.upstream, PermitExpected { *outlook.urgency, outlook.wait });
+        handler(outlook.name.upstream, PermitWaitEstimated { *outlook.urgency, outlook.wait });
     }
 }
 
@@ -227,7 +227,7 @@
     d->handler = std::move(handler);
 }
 
-void PermitRunner::requestPermit(const UpstreamId &upstream, const AskPermit &wish)
+void PermitRunner::requestPermit(const UpstreamId &upstream, const RequestPermit &wish)
 {
     Errands errands;
     {
@@ -240,7 +240,7 @@
     d->carryOut(std::move(errands));
 }
 
-void PermitRunner::release(const UpstreamId &upstream, const ReturnPermit &returned)
+void PermitRunner::release(const UpstreamId &upstream, const ReleasePermit &returned)
 {
     Errands errands;
     {
--- a/main/permitrunner.h
+++ b/main/permitrunner.h
@@ -36,8 +36,8 @@
 
     /** Only before the first requestPermit(). */
     void onAnswer(Handler handler);
-    void requestPermit(const UpstreamId &upstream, const AskPermit &wish);
-    void release(const UpstreamId &upstream, const ReturnPermit &returned);
+    void requestPermit(const UpstreamId &upstream, const RequestPermit &wish);
+    void release(const UpstreamId &upstream, const ReleasePermit &returned);
     /** A message of another node; gives the answer for it. Errors: BadRequest. */
     Result<std::string> take(const std::string &message);
     /** How many nodes the VM list names. */
--- a/tests/coordination/testupstreamscheduler.cpp
+++ b/tests/coordination/testupstreamscheduler.cpp
@@ -187,11 +187,11 @@
     limits.needsPermits = true;
     UpstreamScheduler scheduler(limits);
     auto actions = scheduler.handle(WorkArrived { work(1, "a") }, Time(0));
-    cr_assert_eq(count<AskPermit>(actions), 1);
+    cr_assert_eq(count<RequestPermit>(actions), 1);
     cr_assert_eq(count<StartLoad>(actions), 0);
     actions = scheduler.handle(PermitGranted { adapter("a"), Time(2000) }, Time(100));
     cr_assert_eq(count<StartLoad>(actions), 1);
-    cr_assert_eq(count<ReturnPermit>(scheduler.handle(LoadFinished { adapter("a"), true }, Time(350))), 1);
+    cr_assert_eq(count<ReleasePermit>(scheduler.handle(LoadFinished { adapter("a"), true }, Time(350))), 1);
 }
 
 Test(upstreamscheduler, aPermitThatNobodyNeedsGoesBackAtOnce)
@@ -200,8 +200,8 @@
     limits.needsPermits = true;
     UpstreamScheduler scheduler(limits);
     scheduler.handle(WorkArrived { work(1, "a") }, Time(0));
-    cr_assert_eq(count<ReturnPermit>(scheduler.handle(WorkCancelled { RequestId(1) }, Time(50))), 1);
-    cr_assert_eq(count<ReturnPermit>(scheduler.handle(PermitGranted { adapter("a"), Time(2000) }, Time(100))), 1);
+    cr_assert_eq(count<ReleasePermit>(scheduler.handle(WorkCancelled { RequestId(1) }, Time(50))), 1);
+    cr_assert_eq(count<ReleasePermit>(scheduler.handle(PermitGranted { adapter("a"), Time(2000) }, Time(100))), 1);
 }
 
 Test(upstreamscheduler, aSlowEngineGetsFewerRequestsAndLaterItsBatchAgain)
@@ -230,7 +230,7 @@
     scheduler.handle(WorkArrived { work(1, "warm") }, Time(0));
     scheduler.handle(PermitGranted { adapter("warm"), Time(2000) }, Time(1));
     scheduler.handle(LoadFinished { adapter("warm"), true }, Time(300));
-    scheduler.handle(PermitExpected { Priority::Urgent, Duration(6000) }, Time(1000));
+    scheduler.handle(PermitWaitEstimated { Priority::Urgent, Duration(6000) }, Time(1000));
     const auto cold = scheduler.handle(WorkArrived { work(2, "cold", Priority::Urgent, Time(11'000)) }, Time(1000));
     const auto warm = scheduler.handle(WorkArrived { work(3, "warm", Priority::Urgent, Time(11'000)) }, Time(1000));
     cr_assert_eq(count<Refuse>(cold), 1);
@@ -275,9 +275,9 @@
         scheduler.handle(WorkCancelled { RequestId(id) }, Time(500));
     }
     const auto actions = scheduler.handle(PermitGranted { adapter("a"), Time(9000) }, Time(3000));
-    cr_assert_eq(count<ReturnPermit>(actions), 1);
-    cr_assert_eq(count<AskPermit>(actions), 0);
+    cr_assert_eq(count<ReleasePermit>(actions), 1);
+    cr_assert_eq(count<RequestPermit>(actions), 0);
     // Once something may go, the prefetch finds its room.
-    cr_assert_eq(count<AskPermit>(scheduler.handle(EvictionRule { true, {} }, Time(4000))), 1);
+    cr_assert_eq(count<RequestPermit>(scheduler.handle(EvictionRule { true, {} }, Time(4000))), 1);
     cr_assert_eq(count<StartEvict>(scheduler.handle(PermitGranted { adapter("a"), Time(9000) }, Time(4001))), 1);
 }
--- a/tests/fakes/exploration.cpp
+++ b/tests/fakes/exploration.cpp
@@ -759,7 +759,7 @@
             if (!call.empty()) {
                 end(index, call.mapped(), Outcome::NotRun);
             }
-        } else if (const auto *ask = std::get_if<AskPermit>(&action)) {
+        } else if (const auto *ask = std::get_if<RequestPermit>(&action)) {
             schedulerEvent(index, engine, PermitGranted { ask->adapter, clockOf(node) + Duration::seconds(5) });
         } else if (const auto *dispatch = std::get_if<Dispatch>(&action)) {
             runner.held.push_back(dispatch->id);
