--- a/bench/decisions/figures.cpp
+++ b/bench/decisions/figures.cpp
@@ -15,7 +15,7 @@
 
 using ApricotStep::Priority;
 using ApricotStep::PriorityCount;
-using ApricotStep::PriorityWords;
+using ApricotStep::PriorityNames;
 
 constexpr double JudgedSeconds = static_cast<double>(ArrivalsEnd - WarmUp) / static_cast<double>(Second);
 
@@ -140,7 +140,7 @@
     }
     Figures figures;
     for (std::size_t index = 0; index < PriorityCount; ++index) {
-        putTally(figures, std::string(PriorityWords[index]), tallies[index]);
+        putTally(figures, std::string(PriorityNames[index]), tallies[index]);
         inTime += tallies[index].inTime;
         lost += tallies[index].lost;
     }
--- a/coordination/work.h
+++ b/coordination/work.h
@@ -17,7 +17,7 @@
     Patient,
 };
 inline constexpr std::size_t PriorityCount = 3;
-inline constexpr std::array<std::string_view, PriorityCount> PriorityWords { "urgent", "standard", "patient" };
+inline constexpr std::array<std::string_view, PriorityCount> PriorityNames { "urgent", "standard", "patient" };
 
 /** Why a permit, or the wish for one, ends. */
 enum class PermitEnd {
--- a/main/callerfrontend.cpp
+++ b/main/callerfrontend.cpp
@@ -174,7 +174,7 @@
     HttpRequest request;
     request.method = "POST";
     request.path = job.path;
-    request.headers["x-priority"] = PriorityWords[static_cast<std::size_t>(job.work.priority)];
+    request.headers["x-priority"] = PriorityNames[static_cast<std::size_t>(job.work.priority)];
     request.body = job.body;
     passOn(std::move(job), request, placement, place);
 }
--- a/main/enginerunner.cpp
+++ b/main/enginerunner.cpp
@@ -339,7 +339,7 @@
     call.method = "POST";
     call.url = "http://" + spec.address + what.path;
     call.headers = { { "Content-Type", "application/json" }, { std::string(AttemptHeader), what.attemptId() },
-        { "X-Priority", std::string(PriorityWords[static_cast<std::size_t>(what.work.priority)]) },
+        { "X-Priority", std::string(PriorityNames[static_cast<std::size_t>(what.work.priority)]) },
         { "X-Deadline-Ms", std::to_string(timeLeft(what.work.deadline, parts.clock.now()).milliseconds()) } };
     call.body = what.body;
     call.connectTimeout = parts.settings.duration("upstreams.connect_timeout_ms");
--- a/main/metrics.cpp
+++ b/main/metrics.cpp
@@ -26,7 +26,7 @@
 
 std::string wordOf(Priority priority)
 {
-    return std::string(PriorityWords[static_cast<std::size_t>(priority)]);
+    return std::string(PriorityNames[static_cast<std::size_t>(priority)]);
 }
 
 } // namespace
--- a/protocol/callerapi.cpp
+++ b/protocol/callerapi.cpp
@@ -137,11 +137,11 @@
 
 Result<Priority> parsePriority(std::string_view word)
 {
-    const auto at = std::find(PriorityWords.begin(), PriorityWords.end(), word);
-    if (at == PriorityWords.end()) {
+    const auto at = std::find(PriorityNames.begin(), PriorityNames.end(), word);
+    if (at == PriorityNames.end()) {
         return bad("the priority must be urgent, standard or patient");
     }
-    return static_cast<Priority>(at - PriorityWords.begin());
+    return static_cast<Priority>(at - PriorityNames.begin());
 }
 
 } // namespace ApricotStep
