--- a/bench/explore.cpp
+++ b/bench/explore.cpp
@@ -22,7 +22,7 @@
 
 void add(HistoryResult &sum, const HistoryResult &one)
 {
-    for (std::size_t i = 0; i < PromiseCount; ++i) {
+    for (std::size_t i = 0; i < InvariantCount; ++i) {
         sum.violations[i] += one.violations[i];
     }
     sum.served += one.served;
@@ -40,7 +40,7 @@
     HistoryResult sum;
     int shown = 0;
     for (std::uint64_t seed = firstSeed; seed < firstSeed + count; ++seed) {
-        const HistoryResult one = exploreHistory(seed, nodesOf(seed, nodes), Guard::None);
+        const HistoryResult one = exploreHistory(seed, nodesOf(seed, nodes), Safeguard::None);
         add(sum, one);
         if (one.total() > 0 && shown < 10) {
             ++shown;
@@ -48,8 +48,8 @@
         }
     }
     std::printf("histories=%llu first_seed=%llu", static_cast<unsigned long long>(count), static_cast<unsigned long long>(firstSeed));
-    for (std::size_t i = 0; i < PromiseCount; ++i) {
-        std::printf(" %s=%llu", PromiseWords[i].data(), static_cast<unsigned long long>(sum.violations[i]));
+    for (std::size_t i = 0; i < InvariantCount; ++i) {
+        std::printf(" %s=%llu", InvariantNames[i].data(), static_cast<unsigned long long>(sum.violations[i]));
     }
     std::printf("\nexercised: served=%llu refused=%llu unknown=%llu evictions=%llu payments=%llu takeovers=%llu fenced=%llu\n",
         static_cast<unsigned long long>(sum.served), static_cast<unsigned long long>(sum.refused),
@@ -60,18 +60,18 @@
 }
 
 // Returns whether some history shows that the guard is missing.
-bool findWithout(Guard guard, std::uint64_t firstSeed, std::uint64_t count, int nodes)
+bool findWithout(Safeguard guard, std::uint64_t firstSeed, std::uint64_t count, int nodes)
 {
     for (std::uint64_t seed = firstSeed; seed < firstSeed + count; ++seed) {
         const HistoryResult one = exploreHistory(seed, nodesOf(seed, nodes), guard);
         const std::uint64_t tried = seed - firstSeed + 1;
         if (one.total() > 0) {
-            std::printf("without %s: seed %llu after %llu histories: %s\n", guardWord(guard).data(), static_cast<unsigned long long>(seed),
-                static_cast<unsigned long long>(tried), one.first.c_str());
+            std::printf("without %s: seed %llu after %llu histories: %s\n", safeguardName(guard).data(),
+                static_cast<unsigned long long>(seed), static_cast<unsigned long long>(tried), one.first.c_str());
             return true;
         }
     }
-    std::printf("without %s: not caught in %llu histories\n", guardWord(guard).data(), static_cast<unsigned long long>(count));
+    std::printf("without %s: not caught in %llu histories\n", safeguardName(guard).data(), static_cast<unsigned long long>(count));
     return false;
 }
 
@@ -91,7 +91,7 @@
     CLI11_PARSE(app, argc, argv);
 
     bool isGood = explore(firstSeed, seeds, nodes);
-    for (const Guard guard : AllGuards) {
+    for (const Safeguard guard : AllSafeguards) {
         isGood = (!withoutGuards || findWithout(guard, firstSeed, seeds, nodes)) && isGood;
     }
     return isGood ? 0 : 1;
--- a/tests/fakes/exploration.cpp
+++ b/tests/fakes/exploration.cpp
@@ -133,7 +133,7 @@
 class World
 {
 public:
-    World(std::uint64_t seed, int nodeCount, Guard leftOut)
+    World(std::uint64_t seed, int nodeCount, Safeguard leftOut)
         : m_random(seed)
         , m_leftOut(leftOut)
         , m_nodes(static_cast<std::size_t>(nodeCount))
@@ -176,15 +176,15 @@
     {
         at(m_now + span, std::move(what));
     }
-    bool isLeftOut(Guard guard) const
+    bool isLeftOut(Safeguard guard) const
     {
         return m_leftOut == guard;
     }
-    void violate(Promise promise, const std::string &what)
+    void violate(Invariant promise, const std::string &what)
     {
         ++m_result.violations[static_cast<std::size_t>(promise)];
         if (m_result.first.empty()) {
-            m_result.first = std::string(PromiseWords[static_cast<std::size_t>(promise)]) + " at " + std::to_string(m_now.milliseconds())
+            m_result.first = std::string(InvariantNames[static_cast<std::size_t>(promise)]) + " at " + std::to_string(m_now.milliseconds())
                 + " ms: " + what;
         }
     }
@@ -270,7 +270,7 @@
     void acceptPayment(std::size_t index, const IdempotencyKey &key, std::uint64_t payment, std::function<void(Outcome)> answer);
 
     std::mt19937_64 m_random;
-    const Guard m_leftOut;
+    const Safeguard m_leftOut;
     std::priority_queue<Event> m_events;
     std::uint64_t m_order = 0;
     Time m_now { 1000 };
@@ -434,14 +434,15 @@
 void World::finishShutDown(std::size_t index, int start, Time since)
 {
     ExploredNode &node = m_nodes[index];
-    const bool isOver = isLeftOut(Guard::DrainWait) ? m_now - since >= Duration(200) : m_now - since >= Duration(300) && node.active == 0;
+    const bool isOver =
+        isLeftOut(Safeguard::DrainWait) ? m_now - since >= Duration(200) : m_now - since >= Duration(300) && node.active == 0;
     if (!isOver) {
         after(Duration(50),
             [this, index, start, since] { enter(index, start, [this, index, start, since] { finishShutDown(index, start, since); }); });
         return;
     }
     if (node.active > 0) {
-        violate(Promise::GracefulShutdown, node.id.value() + " ended with requests in progress");
+        violate(Invariant::GracefulShutdown, node.id.value() + " ended with requests in progress");
     }
     membershipEvent(index, AnnounceLeft {});
     node.isUp = false;
@@ -581,10 +582,10 @@
     if (!node.isReady) {
         // What peers tell comes before what the service says: it may be stale.
         const bool hasView = node.membership->isFresh(clockOf(node)) && !node.membership->view()->nodes.empty();
-        if (!isLeftOut(Guard::StartVersion) && !hasView) {
+        if (!isLeftOut(Safeguard::StartVersion) && !hasView) {
             return;
         }
-        if (!isLeftOut(Guard::StartVersion)) {
+        if (!isLeftOut(Safeguard::StartVersion)) {
             for (const Rumour &rumour : node.membership->rumours()) {
                 if (const auto *config = std::get_if<ConfigFact>(&rumour)) {
                     node.version = std::max(node.version, config->version.value());
@@ -610,7 +611,7 @@
         const auto accepted = m_acceptedAt.find(peer.version);
         const bool canAnswer = peer.isUp && peer.isReady && m_now > peer.pausedUntil + ConfigBound && !peer.isDraining;
         if (canAnswer && peer.version > node.version && accepted != m_acceptedAt.end() && m_now > accepted->second + ConfigBound) {
-            violate(Promise::ConfigurationHolds,
+            violate(Invariant::ConfigurationHolds,
                 node.id.value() + " starts with version " + std::to_string(node.version) + " while " + peer.id.value() + " has "
                     + std::to_string(peer.version));
             return;
@@ -621,12 +622,12 @@
 void World::takeVersion(std::size_t index, std::uint64_t version)
 {
     ExploredNode &node = m_nodes[index];
-    const bool isTaken = isLeftOut(Guard::VersionOrder) ? version != node.version : version > node.version;
+    const bool isTaken = isLeftOut(Safeguard::VersionOrder) ? version != node.version : version > node.version;
     if (!isTaken) {
         return;
     }
     if (version < node.version) {
-        violate(Promise::ConfigurationHolds, node.id.value() + " went back to version " + std::to_string(version));
+        violate(Invariant::ConfigurationHolds, node.id.value() + " went back to version " + std::to_string(version));
     }
     node.version = version;
     m_acceptedAt.emplace(version, m_now);
@@ -639,7 +640,7 @@
 {
     m_ran.insert(request);
     if (m_toldNotRun.contains(request)) {
-        violate(Promise::NotRunIsTrue, "request " + std::to_string(request) + " ran after its caller was told that it had not");
+        violate(Invariant::NotRunIsTrue, "request " + std::to_string(request) + " ran after its caller was told that it had not");
     }
 }
 
@@ -650,7 +651,7 @@
     }
     m_toldNotRun.insert(request);
     if (m_ran.contains(request)) {
-        violate(Promise::NotRunIsTrue, "the caller of request " + std::to_string(request) + " was told that it had not run");
+        violate(Invariant::NotRunIsTrue, "the caller of request " + std::to_string(request) + " was told that it had not run");
     }
 }
 
@@ -664,7 +665,7 @@
     call.answer = [this, request = call.request](Outcome outcome, std::uint64_t echoed, const AdapterKey &) {
         noteTold(request, outcome);
         if (outcome == Outcome::Served && echoed != request) {
-            violate(Promise::OwnWholeAnswer, "request " + std::to_string(request) + " got the answer of " + std::to_string(echoed));
+            violate(Invariant::OwnWholeAnswer, "request " + std::to_string(request) + " got the answer of " + std::to_string(echoed));
         }
         ++(outcome == Outcome::Served ? m_result.served : outcome == Outcome::NotRun ? m_result.refused : m_result.unknown);
     };
@@ -687,7 +688,7 @@
     for (const auto &[version, acceptedAt] : m_acceptedAt) {
         if (node.isReady && isQuiet && m_now - acceptedAt > ConfigBound && node.version < version
             && m_now - node.pausedUntil > ConfigBound) {
-            violate(Promise::ConfigurationHolds,
+            violate(Invariant::ConfigurationHolds,
                 node.id.value() + " serves version " + std::to_string(node.version) + " after " + std::to_string(version)
                     + " was accepted");
             break;
@@ -773,8 +774,8 @@
 bool World::mayDispatch(std::size_t index, std::size_t engine) const
 {
     const ExploredNode &node = m_nodes[index];
-    const bool isLeaving = !isLeftOut(Guard::LeavingCheck) && node.membership->view()->leaving.contains(m_engines[engine].id);
-    return !isLeaving && (isLeftOut(Guard::Lease) || node.runners[engine].ownership->mayDispatch(clockOf(node)));
+    const bool isLeaving = !isLeftOut(Safeguard::LeavingCheck) && node.membership->view()->leaving.contains(m_engines[engine].id);
+    return !isLeaving && (isLeftOut(Safeguard::Lease) || node.runners[engine].ownership->mayDispatch(clockOf(node)));
 }
 
 // Dispatches and orders wait until the ownership allows them, or until the request's deadline has passed.
@@ -884,7 +885,7 @@
     }
     const auto &evict = std::get<StartEvict>(action);
     auto token = ownership.evictToken(evict.adapter, clockOf(node));
-    if (isLeftOut(Guard::EvictionWait)) {
+    if (isLeftOut(Safeguard::EvictionWait)) {
         token = ownership.loadToken(clockOf(node));
     }
     if (!token.has_value()) {
@@ -904,7 +905,7 @@
                 ++m_result.evictions;
                 for (const auto &[id, run] : target.running) {
                     if (run.adapter == adapter) {
-                        violate(Promise::NoEvictionInUse,
+                        violate(Invariant::NoEvictionInUse,
                             m_nodes[index].id.value() + " evicted " + adapter.name() + " from " + target.id.value()
                                 + (target.checksFencing ? " (checks fencing)" : " (checks nothing)"));
                         break;
@@ -931,7 +932,7 @@
 {
     ExploredNode &node = m_nodes[index];
     Call call = node.runners[engine].calls.at(id);
-    if (isLeftOut(Guard::VersionBinding)) {
+    if (isLeftOut(Safeguard::VersionBinding)) {
         call.adapter = resolve(call.label, node.version);
     }
     runAtEngine(index, engine, id, std::move(call));
@@ -952,10 +953,10 @@
         }
         const Call &asked = held.mapped();
         if (outcome == Outcome::Served && ran != asked.adapter) {
-            violate(Promise::RightAdapter, "asked for " + asked.adapter.name() + ", ran on " + ran.name());
+            violate(Invariant::RightAdapter, "asked for " + asked.adapter.name() + ", ran on " + ran.name());
         }
         // An answer that names another attempt belongs to another caller.
-        if (outcome == Outcome::Served && echoed != asked.request && !isLeftOut(Guard::AttemptId)) {
+        if (outcome == Outcome::Served && echoed != asked.request && !isLeftOut(Safeguard::AttemptId)) {
             outcome = Outcome::Unknown;
         }
         end(index, asked, outcome, echoed, ran);
@@ -966,7 +967,7 @@
         return;
     }
     // Whether the first byte left is not known of a broken connection, so it counts as sent.
-    const Outcome broken = isLeftOut(Guard::SentState) ? Outcome::NotRun : Outcome::Unknown;
+    const Outcome broken = isLeftOut(Safeguard::SentState) ? Outcome::NotRun : Outcome::Unknown;
     toEngine(
         index, engine,
         [=, this](Engine &target) {
@@ -976,7 +977,7 @@
                 return;
             }
             if (m_now > target.seenLeavingAt + LeavingBound) {
-                violate(Promise::NoWorkForLeaving, m_nodes[index].id.value() + " sent to " + target.id.value());
+                violate(Invariant::NoWorkForLeaving, m_nodes[index].id.value() + " sent to " + target.id.value());
             }
             const std::uint64_t run = ++m_order;
             target.running.emplace(run, Running { call.adapter, call.request });
@@ -1022,7 +1023,7 @@
             claim(index, engine, wanted->token);
         } else if (const auto *rule = std::get_if<EvictionRuleChanged>(&action)) {
             const EvictionRule open { true, {} };
-            schedulerEvent(index, engine, isLeftOut(Guard::EvictionWait) ? open : rule->rule);
+            schedulerEvent(index, engine, isLeftOut(Safeguard::EvictionWait) ? open : rule->rule);
         }
     }
 }
@@ -1133,7 +1134,7 @@
         ExploredNode &node = m_nodes[to];
         const auto key = IdempotencyKey::decode(text, Secret);
         const bool isMine = key.value().node == node.id && key.value().incarnation == node.incarnation;
-        if (isMine || isLeftOut(Guard::KeyOwner)) {
+        if (isMine || isLeftOut(Safeguard::KeyOwner)) {
             acceptPayment(to, key.value(), payment, answer);
             return;
         }
@@ -1166,7 +1167,7 @@
         --owner.active;
         if (outcome == Outcome::Served) {
             owner.ledger->complete(key, { 200, "text/plain", "receipt" });
-        } else if (isLeftOut(Guard::LedgerMemory)) {
+        } else if (isLeftOut(Safeguard::LedgerMemory)) {
             owner.ledger = std::make_unique<Ledger>(KeyLifetime, 1000);
         } else {
             owner.ledger->fail(key);
@@ -1193,7 +1194,7 @@
     }
     after(delay, [=, this] {
         if (++m_paymentRuns[payment] > 1) {
-            violate(Promise::RunsAtMostOnce,
+            violate(Invariant::RunsAtMostOnce,
                 "payment " + std::to_string(payment) + " ran " + std::to_string(m_paymentRuns[payment]) + " times");
         }
         const bool isLost = chance(0.1);
@@ -1203,32 +1204,32 @@
 
 } // namespace
 
-std::string_view guardWord(Guard guard)
+std::string_view safeguardName(Safeguard guard)
 {
     switch (guard) {
-    case Guard::None:
+    case Safeguard::None:
         return "none";
-    case Guard::VersionBinding:
+    case Safeguard::VersionBinding:
         return "version_binding";
-    case Guard::EvictionWait:
+    case Safeguard::EvictionWait:
         return "eviction_wait";
-    case Guard::Lease:
+    case Safeguard::Lease:
         return "lease";
-    case Guard::AttemptId:
+    case Safeguard::AttemptId:
         return "attempt_id";
-    case Guard::SentState:
+    case Safeguard::SentState:
         return "sent_state";
-    case Guard::KeyOwner:
+    case Safeguard::KeyOwner:
         return "key_owner";
-    case Guard::LedgerMemory:
+    case Safeguard::LedgerMemory:
         return "ledger_memory";
-    case Guard::LeavingCheck:
+    case Safeguard::LeavingCheck:
         return "leaving_check";
-    case Guard::DrainWait:
+    case Safeguard::DrainWait:
         return "drain_wait";
-    case Guard::VersionOrder:
+    case Safeguard::VersionOrder:
         return "version_order";
-    case Guard::StartVersion:
+    case Safeguard::StartVersion:
         return "start_version";
     }
     return "unknown";
@@ -1243,7 +1244,7 @@
     return sum;
 }
 
-HistoryResult exploreHistory(std::uint64_t seed, int nodes, Guard leftOut)
+HistoryResult exploreHistory(std::uint64_t seed, int nodes, Safeguard leftOut)
 {
     return World(seed, nodes, leftOut).run();
 }
--- a/tests/fakes/exploration.h
+++ b/tests/fakes/exploration.h
@@ -9,7 +9,7 @@
 {
 
 /** The promises of the brief, in its order. */
-enum class Promise {
+enum class Invariant {
     RightAdapter,
     NoEvictionInUse,
     OwnWholeAnswer,
@@ -19,12 +19,12 @@
     GracefulShutdown,
     ConfigurationHolds,
 };
-inline constexpr std::size_t PromiseCount = 8;
-inline constexpr std::string_view PromiseWords[PromiseCount] = { "right_adapter", "no_eviction_in_use", "own_whole_answer",
+inline constexpr std::size_t InvariantCount = 8;
+inline constexpr std::string_view InvariantNames[InvariantCount] = { "right_adapter", "no_eviction_in_use", "own_whole_answer",
     "not_run_is_true", "runs_at_most_once", "no_work_for_leaving", "graceful_shutdown", "configuration_holds" };
 
 /** The guard that a history leaves out, to show that the exploration would notice. */
-enum class Guard {
+enum class Safeguard {
     None,
     /** The answer's model is compared with nothing, and the version is looked up again at dispatch. */
     VersionBinding,
@@ -49,13 +49,14 @@
     /** A node that starts does not ask its peers for the highest version. */
     StartVersion,
 };
-inline constexpr Guard AllGuards[] = { Guard::VersionBinding, Guard::EvictionWait, Guard::Lease, Guard::AttemptId, Guard::SentState,
-    Guard::KeyOwner, Guard::LedgerMemory, Guard::LeavingCheck, Guard::DrainWait, Guard::VersionOrder, Guard::StartVersion };
-std::string_view guardWord(Guard guard);
+inline constexpr Safeguard AllSafeguards[] = { Safeguard::VersionBinding, Safeguard::EvictionWait, Safeguard::Lease, Safeguard::AttemptId,
+    Safeguard::SentState, Safeguard::KeyOwner, Safeguard::LedgerMemory, Safeguard::LeavingCheck, Safeguard::DrainWait,
+    Safeguard::VersionOrder, Safeguard::StartVersion };
+std::string_view safeguardName(Safeguard guard);
 
 struct HistoryResult
 {
-    std::uint64_t violations[PromiseCount] = {};
+    std::uint64_t violations[InvariantCount] = {};
     /** What went wrong first; empty when nothing did. */
     std::string first;
     // What the history exercised, so that a run that tests nothing is seen as such.
@@ -71,6 +72,6 @@
 };
 
 /** One history of @p nodes nodes, 3 to 5; equal seeds give equal histories. */
-HistoryResult exploreHistory(std::uint64_t seed, int nodes, Guard leftOut);
+HistoryResult exploreHistory(std::uint64_t seed, int nodes, Safeguard leftOut);
 
 } // namespace Fakes
