--- a/main/entry/entrynode.cpp
+++ b/main/entry/entrynode.cpp
@@ -193,7 +193,7 @@
     const auto shown = listen(parseEndpoint(settings.callerAddress).ip + ':' + std::to_string(MetricsPort),
         [this](const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) { answerMetrics(request, *exchange); });
     if (!shown.isOk()) {
-        log.write(EventLog::Weight::Important, "node", "no_metrics", { { "reason", shown.error().detail } });
+        log.write(EventLog::Severity::Important, "node", "no_metrics", { { "reason", shown.error().detail } });
     }
     const auto served = listen(settings.peerAddress,
         [this](const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) { peers->answer(request, *exchange); });
@@ -208,7 +208,7 @@
     for (const UpstreamChange &change : changes.upstreams) {
         std::visit(Overloaded {
                        [this](const UpstreamStarted &started) {
-                           log.write(EventLog::Weight::Important, "upstream", "started",
+                           log.write(EventLog::Severity::Important, "upstream", "started",
                                { { "upstream", started.record.id.value() }, { "service", started.record.service.value() },
                                    { "address", started.record.address }, { "leaving", started.record.isLeaving },
                                    { "startedAt", started.record.startedAt } });
@@ -217,7 +217,7 @@
                        [this](const UpstreamLeft &left) {
                            beliefs.forgetRow(left.id);
                            beliefs.outliers.remove(left.id);
-                           log.write(EventLog::Weight::Important, "upstream", "left",
+                           log.write(EventLog::Severity::Important, "upstream", "left",
                                { { "upstream", left.id.value() }, { "reason", left.reason } });
                        },
                    },
@@ -296,7 +296,7 @@
     const bool isCurrent = store->hasReadAll() && store->silence() == Duration(0);
     const StoreReaderDecision turn = storeReaderElection.decide(fleet->isDivided(), isCurrent, store->revision(), neighbours, clock.now());
     if (std::exchange(readsStore, turn.readsItself) != turn.readsItself) {
-        log.write(EventLog::Weight::Important, "store", "turn",
+        log.write(EventLog::Severity::Important, "store", "turn",
             { { "reads", turn.readsItself }, { "neighbours", static_cast<std::int64_t>(neighbours.size()) } });
     }
     store->setFollowing(!turn.readsItself);
@@ -327,7 +327,7 @@
 void EntryNode::Private::checkSignals()
 {
     if (isReloadAsked.exchange(false)) {
-        log.write(EventLog::Weight::Important, "node", "reload", {});
+        log.write(EventLog::Severity::Important, "node", "reload", {});
     }
     if (isDrainAsked && !isLeaving) {
         beginDrain();
@@ -341,7 +341,7 @@
 {
     isLeaving = true;
     drainStartedAt = clock.now();
-    log.write(EventLog::Weight::Important, "node", "draining", { { "active", std::int64_t(forwarder->activeCount()) } });
+    log.write(EventLog::Severity::Important, "node", "draining", { { "active", std::int64_t(forwarder->activeCount()) } });
     fleet->leave();
 }
 
@@ -355,7 +355,7 @@
     }
     const bool isIdle = forwarder->activeCount() == 0 && callerServer->activeCount() == 0;
     if ((isIdle && passed >= LingerAfterDrain) || passed >= longest) {
-        log.write(EventLog::Weight::Important, "node", "stopped",
+        log.write(EventLog::Severity::Important, "node", "stopped",
             { { "active", std::int64_t(forwarder->activeCount()) }, { "drainedMs", passed.milliseconds() } });
         loop.stop();
     }
@@ -373,7 +373,7 @@
     if (!opened.isOk()) {
         return opened.error();
     }
-    node->d->log.write(EventLog::Weight::Important, "node", "started",
+    node->d->log.write(EventLog::Severity::Important, "node", "started",
         { { "callers", settings.callerAddress }, { "zone", settings.zone.value() }, { "store", settings.storeAddress } });
     return node;
 }
--- a/main/entry/eventlog.cpp
+++ b/main/entry/eventlog.cpp
@@ -36,14 +36,14 @@
     std::uint64_t dropped = 0;
     std::uint64_t droppedSinceLine = 0;
 
-    bool mayWrite(Weight weight)
+    bool mayWrite(Severity weight)
     {
         const Time now = clock.now();
         if (now - windowStart >= Duration::seconds(1)) {
             windowStart = now;
             written = 0;
         }
-        const int limit = weight == Weight::Request ? RequestLinesPerSecond : LinesPerSecond;
+        const int limit = weight == Severity::Routine ? RequestLinesPerSecond : LinesPerSecond;
         return written < limit && isWritable();
     }
 };
@@ -58,7 +58,7 @@
 
 EventLog::~EventLog() = default;
 
-void EventLog::write(Weight weight, std::string_view part, std::string_view event, std::initializer_list<LogField> fields)
+void EventLog::write(Severity weight, std::string_view part, std::string_view event, std::initializer_list<LogField> fields)
 {
     if (!d->mayWrite(weight)) {
         ++d->dropped;
--- a/main/entry/eventlog.h
+++ b/main/entry/eventlog.h
@@ -29,9 +29,9 @@
 {
 public:
     /** What a line is about; lines on requests are dropped before the others. */
-    enum class Weight {
+    enum class Severity {
         /** One step of a request that goes well. */
-        Request,
+        Routine,
         /** A refusal, a failure, a change of belief, the process itself. */
         Important,
     };
@@ -41,7 +41,7 @@
     ~EventLog();
 
     /** @p part: the part of the program; @p event: what happened, a word of docs/LOGS.md. */
-    void write(Weight weight, std::string_view part, std::string_view event, std::initializer_list<LogField> fields);
+    void write(Severity weight, std::string_view part, std::string_view event, std::initializer_list<LogField> fields);
     /** Lines dropped since the start. */
     std::uint64_t dropped() const;
 
--- a/main/entry/fleetlink.cpp
+++ b/main/entry/fleetlink.cpp
@@ -31,7 +31,7 @@
 constexpr Duration PeerTimeout = Duration::seconds(60);
 // Rows in one datagram, by their copies of about a dozen bytes each: they stay below the size that no link cuts.
 constexpr std::size_t CopiesInDatagram = 60;
-constexpr EventLog::Weight Important = EventLog::Weight::Important;
+constexpr EventLog::Severity Important = EventLog::Severity::Important;
 
 } // namespace
 
--- a/main/entry/orderrunner.cpp
+++ b/main/entry/orderrunner.cpp
@@ -120,7 +120,7 @@
     const auto token = fleet.lease(shard).mayOrder(now());
     if (!token) {
         if (plan != nullptr) {
-            log.write(EventLog::Weight::Important, "orders", "stopped",
+            log.write(EventLog::Severity::Important, "orders", "stopped",
                 { { "shard", std::int64_t(shard.value()) }, { "fence", static_cast<std::int64_t>(fence.value()) } });
         }
         plan.reset();
@@ -129,7 +129,7 @@
     if (plan == nullptr || fence != *token) {
         fence = *token;
         plan = std::make_unique<AdapterPlan>(AdapterPlanLimits {}, fence, beliefs.loadEstimator);
-        log.write(EventLog::Weight::Important, "orders", "started",
+        log.write(EventLog::Severity::Important, "orders", "started",
             { { "shard", std::int64_t(shard.value()) }, { "fence", static_cast<std::int64_t>(fence.value()) } });
     }
     return true;
@@ -191,7 +191,7 @@
     }
     storeLoggedAt = now();
     const AdapterLoadEstimator &loads = beliefs.loadEstimator;
-    log.write(EventLog::Weight::Important, "orders", "store",
+    log.write(EventLog::Severity::Important, "orders", "store",
         { { "shard", std::int64_t(shard.value()) }, { "fetches", std::int64_t(loads.fetchesInFlight()) },
             { "fetchesAtOnce", std::int64_t(loads.maxConcurrentFetches()) }, { "shortestMs", loads.minFetchTime().milliseconds() },
             { "usualMs", loads.firstPollDelay(false).milliseconds() }, { "atHandMs", loads.firstPollDelay(true).milliseconds() } });
@@ -286,7 +286,7 @@
 void OrderRunner::Private::onAnswer(const EngineOrder &order, FencingToken under, const CallResult &result, Time askedAt)
 {
     const OrderAnswer answer = result.state == AttemptState::Answered ? Platform::decodeOrderAnswer(result.status) : OrderAnswer::Unknown;
-    log.write(EventLog::Weight::Request, "orders", "answered",
+    log.write(EventLog::Severity::Routine, "orders", "answered",
         { { "engine", order.engine.value() }, { "adapter", order.adapter.value() }, { "version", order.version.value() },
             { "load", order.kind == EngineOrder::Kind::Load }, { "status", std::int64_t(result.status) }, { "error", result.detail },
             { "tookMs", (now() - askedAt).milliseconds() } });
@@ -320,8 +320,8 @@
         }
         const auto report = Platform::decodeReport(*body);
         if (!report.isOk()) {
-            self->log.write(
-                EventLog::Weight::Important, "orders", "bad_report", { { "engine", engine.value() }, { "reason", report.error().detail } });
+            self->log.write(EventLog::Severity::Important, "orders", "bad_report",
+                { { "engine", engine.value() }, { "reason", report.error().detail } });
             return;
         }
         self->plan->onReport(engine, report.value(), askedAt);
--- a/main/entry/peerservice.cpp
+++ b/main/entry/peerservice.cpp
@@ -79,7 +79,7 @@
         self->isFetching = false;
         const bool hasCome = result.state == AttemptState::Answered && result.status == OkStatus && self->store.takeFromPeer(id, *changes);
         if (!hasCome) {
-            self->log.write(EventLog::Weight::Important, "peers", "no_copy",
+            self->log.write(EventLog::Severity::Important, "peers", "no_copy",
                 { { "peer", id.value() }, { "status", std::int64_t(result.status) }, { "reason", result.detail } });
         }
         onDone(hasCome);
--- a/main/entry/requestforwarder.cpp
+++ b/main/entry/requestforwarder.cpp
@@ -140,7 +140,7 @@
     const ErrorAnswer &answer = errorAnswer(kind);
     const Duration retryAfter = answer.retry != RetryAdvice::Never ? RetryAfterStart : Duration(0);
     ApricotStep::refuse(exchange, kind, { retryAfter, m_callbacks.isLeaving() });
-    m_log.write(EventLog::Weight::Important, "request", "refused",
+    m_log.write(EventLog::Severity::Important, "request", "refused",
         { { "request", id }, { "reason", std::string(answer.word) }, { "detail", detail } });
 }
 
--- a/main/entry/requestjob.cpp
+++ b/main/entry/requestjob.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-constexpr EventLog::Weight Step = EventLog::Weight::Request;
-constexpr EventLog::Weight Important = EventLog::Weight::Important;
+constexpr EventLog::Severity Step = EventLog::Severity::Routine;
+constexpr EventLog::Severity Important = EventLog::Severity::Important;
 
 constexpr Duration ConnectTimeout { 400 };
 // An upstream on a connection that went silent is noticed within this.
--- a/main/entry/storereader.cpp
+++ b/main/entry/storereader.cpp
@@ -24,7 +24,7 @@
 constexpr Duration OutageThatLosesEntries { 700 };
 
 constexpr int OkStatus = 200;
-constexpr EventLog::Weight Important = EventLog::Weight::Important;
+constexpr EventLog::Severity Important = EventLog::Severity::Important;
 
 } // namespace
 
