--- a/main/entry/entrynode.cpp
+++ b/main/entry/entrynode.cpp
@@ -117,7 +117,7 @@
     fleetCallbacks.onUses = [this](const NodeId &node, const std::vector<AdapterUse> &uses) { orders->onUses(node, uses); };
     fleetCallbacks.storeSight = [this] { return StoreSight { store->revision(), store->isReading() }; };
     fleetCallbacks.onStoreNews = [this] { followStore(); };
-    fleetCallbacks.onRows = [this] { forwarder->onBeliefsChanged(); };
+    fleetCallbacks.onRows = [this] { forwarder->onClusterStateChanged(); };
     fleetCallbacks.onLaterConfiguration = [this](const Peer &peer) { peers->fetchFrom(peer); };
     OrderLeaseLimits limits;
     limits.handoverDelay = settings.orderTurn;
@@ -223,7 +223,7 @@
                    },
             change);
     }
-    forwarder->onBeliefsChanged();
+    forwarder->onClusterStateChanged();
     orders->decideSoon();
 }
 
--- a/main/entry/requestforwarder.cpp
+++ b/main/entry/requestforwarder.cpp
@@ -184,7 +184,7 @@
     job->start();
 }
 
-void RequestForwarder::onBeliefsChanged()
+void RequestForwarder::onClusterStateChanged()
 {
     // A job that looks again may end and change the list.
     std::vector<std::shared_ptr<RequestJob>> current;
--- a/main/entry/requestforwarder.h
+++ b/main/entry/requestforwarder.h
@@ -52,7 +52,7 @@
 
     void onRequest(HttpRequest request, std::shared_ptr<HttpExchange> exchange);
     /** Requests that wait for an adapter look again. */
-    void onBeliefsChanged();
+    void onClusterStateChanged();
     /** Adapters that requests run on and wait for; arrivals are counted since the last call. */
     std::vector<AdapterUse> uses();
     /** Only what they wait for; counts nothing. */
