--- a/main/entry/entrynode.cpp
+++ b/main/entry/entrynode.cpp
@@ -141,7 +141,7 @@
     };
     callbacks.nodeCount = [this] { return fleet->lease(EngineShard(0)).voterCount(clock.now()); };
     callbacks.isLeaving = [this] { return isLeaving; };
-    callbacks.mayTake = [this](Duration longest) {
+    callbacks.canAccept = [this](Duration longest) {
         const Duration passed = clock.now() - drainStartedAt;
         return !isLeaving || passed < TakeAllAfterDrain || longest < settings.grace - ReserveBeforeKill - passed;
     };
--- a/main/entry/requestforwarder.cpp
+++ b/main/entry/requestforwarder.cpp
@@ -174,7 +174,7 @@
         d->refuse(*exchange, decoded.id, ErrorKind::RequestTooLarge, std::to_string(request.body.size()) + " bytes");
         return;
     }
-    if (!d->m_callbacks.mayTake(std::min(route->timeout, decoded.deadline.value_or(route->timeout)))) {
+    if (!d->m_callbacks.canAccept(std::min(route->timeout, decoded.deadline.value_or(route->timeout)))) {
         d->refuse(*exchange, decoded.id, ErrorKind::Draining, "it might not end before this process does");
         return;
     }
--- a/main/entry/requestforwarder.h
+++ b/main/entry/requestforwarder.h
@@ -37,7 +37,7 @@
     /** The node leaves: answers end their connections. */
     std::function<bool()> isLeaving;
     /** Whether a request that may last for @p longest can be taken. */
-    std::function<bool(Duration longest)> mayTake;
+    std::function<bool(Duration longest)> canAccept;
     /** How long until any node gives orders to engines; unset while this node is cut off from most of the others. */
     std::function<std::optional<Duration>()> ordersIn;
 };
--- a/tests/main/testrequestforwarder.cpp
+++ b/tests/main/testrequestforwarder.cpp
@@ -48,7 +48,7 @@
         callbacks.onPendingAdapters = [] {};
         callbacks.nodeCount = [] { return 1; };
         callbacks.isLeaving = [this] { return isLeaving; };
-        callbacks.mayTake = [](Duration) { return true; };
+        callbacks.canAccept = [](Duration) { return true; };
         callbacks.ordersIn = [this] { return ordersIn; };
         forwarder = std::make_unique<RequestForwarder>(loop, log, metrics, beliefs, ForwarderSettings {}, std::move(callbacks));
     }
