--- a/main/entry/entrynode.cpp
+++ b/main/entry/entrynode.cpp
@@ -120,7 +120,7 @@
     fleetCallbacks.onRows = [this] { forwarder->onClusterStateChanged(); };
     fleetCallbacks.onLaterConfiguration = [this](const Peer &peer) { peers->fetchFrom(peer); };
     OrderLeaseLimits limits;
-    limits.handoverDelay = settings.orderTurn;
+    limits.handoverDelay = settings.orderHandoverDelay;
     const auto started = static_cast<std::uint64_t>(clock.wallTime().milliseconds());
     FleetIdentity identity { settings.node, Incarnation((started << 16U) | (std::random_device {}() & 0xffffU)), settings.zone,
         settings.zoneNames(), settings.coreShare, settings.callerAddress, settings.peerAddress, settings.seeds };
--- a/tests/main/testentrynode.cpp
+++ b/tests/main/testentrynode.cpp
@@ -181,7 +181,7 @@
     settings.storeAddress = storeAddress;
     settings.grace = Duration::seconds(4);
     settings.configurationBound = Duration::seconds(2);
-    settings.orderTurn = Duration::seconds(3);
+    settings.orderHandoverDelay = Duration::seconds(3);
     settings.adapterVersionBound = Duration::seconds(5);
     settings.retryShare = 0.2;
     settings.retryExtra = 100;
