--- a/main/entry/entrynode.cpp
+++ b/main/entry/entrynode.cpp
@@ -131,7 +131,7 @@
     ForwarderSettings forwarding;
     forwarding.zone = settings.zone;
     forwarding.retryShare = settings.retryShare;
-    forwarding.retryExtra = settings.retryExtra;
+    forwarding.retryReserve = settings.retryReserve;
     forwarding.retryWindow = settings.retryWindow;
     forwarding.adapterVersionBound = settings.adapterVersionBound;
     ForwarderCallbacks callbacks;
--- a/main/entry/requestforwarder.cpp
+++ b/main/entry/requestforwarder.cpp
@@ -94,7 +94,7 @@
     const double nodes = std::max(m_callbacks.nodeCount(), 1);
     RetryBudgetLimits limits;
     limits.share = m_settings.retryShare * ShareOfAllowance;
-    limits.reserve = std::max(m_settings.retryExtra * ShareOfAllowance / nodes, 1.0);
+    limits.reserve = std::max(m_settings.retryReserve * ShareOfAllowance / nodes, 1.0);
     limits.minRetriesPerSecond = limits.reserve / m_settings.retryWindow.toSeconds() / 2;
     return limits;
 }
--- a/main/entry/requestforwarder.h
+++ b/main/entry/requestforwarder.h
@@ -21,7 +21,7 @@
     ZoneId zone;
     /** Arrivals at a service beyond the first of each request: a share of the requests, and a number on top, of all nodes in a window. */
     double retryShare = 0.1;
-    double retryExtra = 16;
+    double retryReserve = 16;
     Duration retryWindow = Duration::seconds(10);
     /** A new adapter version is in use everywhere within this. */
     Duration adapterVersionBound = Duration::seconds(5);
--- a/tests/main/testentrynode.cpp
+++ b/tests/main/testentrynode.cpp
@@ -184,7 +184,7 @@
     settings.orderHandoverDelay = Duration::seconds(3);
     settings.adapterVersionBound = Duration::seconds(5);
     settings.retryShare = 0.2;
-    settings.retryExtra = 100;
+    settings.retryReserve = 100;
     settings.retryWindow = Duration::seconds(10);
     settings.maxAddressLifetime = Duration::seconds(5);
     settings.maxDescriptors = 1000;
