--- a/main/entry/entrynode.cpp
+++ b/main/entry/entrynode.cpp
@@ -77,7 +77,7 @@
     explicit Private(const Platform::ProcessSettings &settings)
         : settings(settings)
         , log(clock, settings.node.value())
-        , storeReaderElection(StoreReaderLimits {}, settings.node, settings.coreShare)
+        , storeReaderElection(StoreReaderLimits {}, settings.node, settings.cpuShare)
     {
     }
 
@@ -123,7 +123,7 @@
     limits.handoverDelay = settings.orderHandoverDelay;
     const auto started = static_cast<std::uint64_t>(clock.wallTime().milliseconds());
     FleetIdentity identity { settings.node, Incarnation((started << 16U) | (std::random_device {}() & 0xffffU)), settings.zone,
-        settings.zoneNames(), settings.coreShare, settings.callerAddress, settings.peerAddress, settings.seeds };
+        settings.zoneNames(), settings.cpuShare, settings.callerAddress, settings.peerAddress, settings.seeds };
     fleet = std::make_unique<FleetLink>(loop, log, beliefs, std::move(identity), limits, std::move(fleetCallbacks));
 
     orders = std::make_unique<OrderRunner>(loop, log, metrics, beliefs, *fleet, settings.node, [this] { return forwarder->uses(); });
