--- a/main/entry/entrymetrics.cpp
+++ b/main/entry/entrymetrics.cpp
@@ -100,7 +100,7 @@
     }
 }
 
-void EntryMetrics::firstAnswer(RequestKind kind, Duration after)
+void EntryMetrics::answerBegan(RequestKind kind, Duration after)
 {
     d->firsts.Add({ { "kind", wordOf(kind) } }, Seconds).Observe(after.toSeconds());
 }
@@ -113,7 +113,7 @@
     }
 }
 
-void EntryMetrics::upstreamTrouble(std::string_view what)
+void EntryMetrics::upstreamFailed(std::string_view what)
 {
     d->troubles.Add({ { "what", std::string(what) } }).Increment();
 }
@@ -126,7 +126,7 @@
 std::string EntryMetrics::text(const EntryGauges &gauges) const
 {
     d->setGauge("config_version", static_cast<double>(gauges.configVersion));
-    d->setGauge("store_silence_seconds", gauges.storeSilence.toSeconds());
+    d->setGauge("store_silence_seconds", gauges.timeSinceStoreResponse.toSeconds());
     d->setGauge("peers_alive", gauges.peersAlive);
     d->setGauge("upstreams", gauges.upstreams);
     d->setGauge("requests_in_progress", gauges.requestsInProgress);
--- a/main/entry/entrymetrics.h
+++ b/main/entry/entrymetrics.h
@@ -30,7 +30,7 @@
 struct EntryGauges
 {
     std::uint64_t configVersion = 0;
-    Duration storeSilence;
+    Duration timeSinceStoreResponse;
     int peersAlive = 0;
     int upstreams = 0;
     int requestsInProgress = 0;
@@ -48,11 +48,11 @@
     /** @p took: from the arrival. */
     void requestEnded(RequestKind kind, RequestOutcome outcome, Duration took);
     /** The first byte of an answer came @p after the arrival. */
-    void firstAnswer(RequestKind kind, Duration after);
+    void answerBegan(RequestKind kind, Duration after);
     /** A request was sent to an upstream @p waited after its arrival; @p isRepeat: not for the first time. */
     void sent(RequestKind kind, Duration waited, bool isRepeat);
     /** An upstream refused before execution, failed, or broke off. */
-    void upstreamTrouble(std::string_view what);
+    void upstreamFailed(std::string_view what);
     /** An engine answered an order; @p answer: one of a closed list of words. */
     void order(std::string_view answer);
 
--- a/main/entry/entrynode.cpp
+++ b/main/entry/entrynode.cpp
@@ -276,7 +276,7 @@
     }
     EntryGauges gauges;
     gauges.configVersion = beliefs.routes != nullptr ? beliefs.routes->version().value() : 0;
-    gauges.storeSilence = store->silence();
+    gauges.timeSinceStoreResponse = store->silence();
     gauges.peersAlive = static_cast<int>(fleet->alive().size());
     gauges.upstreams = static_cast<int>(beliefs.upstreams.size());
     gauges.requestsInProgress = forwarder->activeCount();
--- a/main/entry/requestjob.cpp
+++ b/main/entry/requestjob.cpp
@@ -393,7 +393,7 @@
     }
     if (!m_isStreaming) {
         m_isStreaming = true;
-        m_context.metrics().firstAnswer(m_route.kind, now() - m_arrivedAt);
+        m_context.metrics().answerBegan(m_route.kind, now() - m_arrivedAt);
         m_exchange->beginStream(m_answer->status, withConnection(m_answer->callerHeaders, m_context.callbacks().isLeaving()));
         m_context.log().write(Step, "request", "streaming",
             { { "request", m_decoded.id }, { "upstream", m_upstream.id.value() }, { "afterMs", (now() - m_arrivedAt).milliseconds() } });
@@ -524,7 +524,7 @@
 void RequestJob::onNotRun()
 {
     constexpr int MisdirectedStatus = 421;
-    m_context.metrics().upstreamTrouble("not_run");
+    m_context.metrics().upstreamFailed("not_run");
     m_context.log().write(Step, "request", "not_run",
         { { "request", m_decoded.id }, { "upstream", m_upstream.id.value() }, { "status", std::int64_t(m_answer->status) } });
     if (m_answer->status == MisdirectedStatus && needsAdapter()) {
@@ -536,7 +536,7 @@
 
 void RequestJob::onServerFailure()
 {
-    m_context.metrics().upstreamTrouble("failed");
+    m_context.metrics().upstreamFailed("failed");
     m_context.beliefs().outliers.onFailure(m_upstream.id, now());
     m_context.log().write(Important, "request", "upstream_failed",
         { { "request", m_decoded.id }, { "upstream", m_upstream.id.value() }, { "status", std::int64_t(m_answer->status) } });
@@ -551,7 +551,7 @@
 
 void RequestJob::onBroken(const CallResult &result)
 {
-    m_context.metrics().upstreamTrouble("broken");
+    m_context.metrics().upstreamFailed("broken");
     ++m_runs;
     m_outcome = Outcome::MayHaveRun;
     m_context.beliefs().outliers.onFailure(m_upstream.id, now());
--- a/tests/main/testmetrics.cpp
+++ b/tests/main/testmetrics.cpp
@@ -83,9 +83,9 @@
     metrics.ejection("e1");
     EntryMetrics entry;
     entry.requestEnded(RequestKind::Stream, RequestOutcome::Served, Duration(1));
-    entry.firstAnswer(RequestKind::Stream, Duration(1));
+    entry.answerBegan(RequestKind::Stream, Duration(1));
     entry.sent(RequestKind::Stream, Duration(1), false);
-    entry.upstreamTrouble("broken");
+    entry.upstreamFailed("broken");
     entry.order("done");
     const std::string page = sourceFile("docs/METRICS.md");
     std::set<std::string> written;
