--- a/tests/main/scriptedupstream.cpp
+++ b/tests/main/scriptedupstream.cpp
@@ -106,11 +106,11 @@
             ++m_closedByPeer;
             break;
         }
-        if (answer.then == ScriptedAnswer::Then::Reset) {
+        if (answer.connectionAction == ScriptedAnswer::ConnectionAction::Reset) {
             const linger now { 1, 0 };
             setsockopt(socket, SOL_SOCKET, SO_LINGER, &now, sizeof now);
         }
-        if (answer.then != ScriptedAnswer::Then::Keep) {
+        if (answer.connectionAction != ScriptedAnswer::ConnectionAction::Keep) {
             break;
         }
         request.clear();
--- a/tests/main/scriptedupstream.h
+++ b/tests/main/scriptedupstream.h
@@ -17,12 +17,12 @@
 {
     /** Bytes to send, as they are. "{id}" stands for the request's id. */
     std::string bytes;
-    enum class Then {
+    enum class ConnectionAction {
         Keep,
         Close,
         Reset,
     };
-    Then then = Then::Keep;
+    ConnectionAction connectionAction = ConnectionAction::Keep;
     /** Waits for the other side to close after the bytes. */
     bool isSilent = false;
 };
--- a/tests/main/testentrynode.cpp
+++ b/tests/main/testentrynode.cpp
@@ -120,7 +120,7 @@
     {
         if (m_isSilent) {
             ++m_unanswered;
-            return ScriptedAnswer { "", ScriptedAnswer::Then::Keep, true };
+            return ScriptedAnswer { "", ScriptedAnswer::ConnectionAction::Keep, true };
         }
         const absl::MutexLock lock(&m_mutex);
         if (!m_change.empty() && absl::StrContains(request, "after=2&")) {
@@ -143,7 +143,7 @@
 ScriptedAnswer answerInTwoPages(const std::string &request)
 {
     if (absl::StrContains(request, "kv-watch")) {
-        return ScriptedAnswer { "", ScriptedAnswer::Then::Keep, true };
+        return ScriptedAnswer { "", ScriptedAnswer::ConnectionAction::Keep, true };
     }
     const bool isFirst = !absl::StrContains(request, "after=");
     if (!isFirst) {
@@ -273,7 +273,7 @@
 // The store is down when a node starts, and no other node knows anything. It refuses for now, with 503, is not ready, and names nobody.
 Test(entrynode, withoutTheStoreNothingIsPromised)
 {
-    const ScriptedUpstream store([](const std::string &) { return ScriptedAnswer { "", ScriptedAnswer::Then::Reset }; });
+    const ScriptedUpstream store([](const std::string &) { return ScriptedAnswer { "", ScriptedAnswer::ConnectionAction::Reset }; });
     const auto settings = settingsFor(store.address());
     HttpClient client;
     const Running running(settings);
@@ -288,7 +288,7 @@
 {
     const ScriptedUpstream upstream(&answerWhole);
     const ScriptedUpstream store([&](const std::string &request) { return storeAnswer(request, upstream.address()); });
-    const ScriptedUpstream down([](const std::string &) { return ScriptedAnswer { "", ScriptedAnswer::Then::Reset }; });
+    const ScriptedUpstream down([](const std::string &) { return ScriptedAnswer { "", ScriptedAnswer::ConnectionAction::Reset }; });
     const auto first = settingsFor(store.address());
     auto second = settingsFor(down.address());
     second.node = NodeId("n2");
--- a/tests/main/testrequestforwarder.cpp
+++ b/tests/main/testrequestforwarder.cpp
@@ -128,10 +128,10 @@
 {
     int calls = 0;
     const ScriptedUpstream first([&](const std::string &) {
-        return ScriptedAnswer { ++calls == 1 ? Failure : Half, ScriptedAnswer::Then::Close };
+        return ScriptedAnswer { ++calls == 1 ? Failure : Half, ScriptedAnswer::ConnectionAction::Close };
     });
     const ScriptedUpstream second([&](const std::string &) {
-        return ScriptedAnswer { ++calls == 1 ? Failure : Half, ScriptedAnswer::Then::Close };
+        return ScriptedAnswer { ++calls == 1 ? Failure : Half, ScriptedAnswer::ConnectionAction::Close };
     });
     Bench bench;
     bench.configure(RequestKind::Idempotent, 2);
@@ -150,7 +150,7 @@
 {
     int calls = 0;
     const ScriptedUpstream upstream([&](const std::string &) {
-        return ++calls == 1 ? ScriptedAnswer { Whole } : ScriptedAnswer { "", ScriptedAnswer::Then::Close };
+        return ++calls == 1 ? ScriptedAnswer { Whole } : ScriptedAnswer { "", ScriptedAnswer::ConnectionAction::Close };
     });
     Bench bench;
     bench.configure(RequestKind::NonIdempotent, 1);
@@ -245,7 +245,7 @@
     const auto script = [&](const std::string &request) {
         if (++calls == 1) {
             return ScriptedAnswer { absl::StrCat(StreamHead, chunk("id: 1\ndata: a\n\n"), chunk("id: 2\nda")),
-                ScriptedAnswer::Then::Reset };
+                ScriptedAnswer::ConnectionAction::Reset };
         }
         cr_assert(absl::StrContains(request, "Last-Event-Id: 1\r\n"), "%s", request.c_str());
         return ScriptedAnswer { absl::StrCat(StreamHead, chunk("id: 2\ndata: b\n\n"), "0\r\n\r\n") };
@@ -266,7 +266,7 @@
 Test(requestforwarder, aBrokenStreamThatMayNotBeResumedDoesNotLookWhole)
 {
     const auto script = [](const std::string &) {
-        return ScriptedAnswer { absl::StrCat(StreamHead, chunk("id: 1\ndata: a\n\n")), ScriptedAnswer::Then::Close };
+        return ScriptedAnswer { absl::StrCat(StreamHead, chunk("id: 1\ndata: a\n\n")), ScriptedAnswer::ConnectionAction::Close };
     };
     const ScriptedUpstream first(script);
     const ScriptedUpstream second(script);
@@ -283,7 +283,9 @@
 // A caller closes its connection while an upstream still works for it. The upstream is told at once by a closed connection.
 Test(requestforwarder, aCallerThatLeavesStopsItsUpstream)
 {
-    const ScriptedUpstream upstream([](const std::string &) { return ScriptedAnswer { "", ScriptedAnswer::Then::Keep, true }; });
+    const ScriptedUpstream upstream([](const std::string &) {
+        return ScriptedAnswer { "", ScriptedAnswer::ConnectionAction::Keep, true };
+    });
     Bench bench;
     bench.configure(RequestKind::NonIdempotent, 1);
     bench.addUpstream("u1", upstream);
@@ -359,7 +361,7 @@
 // adapter, and nobody orders loads. The answer must not promise that nothing ran.
 Test(requestforwarder, whatMayHaveRunIsNeverRefusedAsNotRun)
 {
-    const ScriptedUpstream upstream([](const std::string &) { return ScriptedAnswer { "", ScriptedAnswer::Then::Close }; });
+    const ScriptedUpstream upstream([](const std::string &) { return ScriptedAnswer { "", ScriptedAnswer::ConnectionAction::Close }; });
     Bench bench;
     bench.configure(RequestKind::Stream, 2, true);
     bench.addUpstream("u1", upstream);
