--- a/main/entry/beliefs.h
+++ b/main/entry/beliefs.h
@@ -24,7 +24,7 @@
 };
 
 /** Everything that an entry node believes of the world. Used by its loop's thread only. */
-struct Beliefs
+struct ClusterState
 {
     /** Null until a configuration is known. */
     std::shared_ptr<const RouteTable> routes;
--- a/main/entry/entrynode.cpp
+++ b/main/entry/entrynode.cpp
@@ -57,7 +57,7 @@
     IoLoop loop { clock };
     EventLog log { clock, "" };
     EntryMetrics metrics;
-    Beliefs beliefs;
+    ClusterState clusterState;
     std::unique_ptr<StoreReader> store;
     std::unique_ptr<FleetLink> fleet;
     std::unique_ptr<OrderRunner> orders;
@@ -98,17 +98,17 @@
 
 bool EntryNode::Private::isReady() const
 {
-    return !isLeaving && beliefs.routes != nullptr && beliefs.upstreams.size() > 0;
+    return !isLeaving && clusterState.routes != nullptr && clusterState.upstreams.size() > 0;
 }
 
 void EntryNode::Private::makeParts()
 {
-    store = std::make_unique<StoreReader>(loop, log, beliefs, settings.storeAddress, settings.configurationBound,
+    store = std::make_unique<StoreReader>(loop, log, clusterState, settings.storeAddress, settings.configurationBound,
         [this](const BeliefChanges &changes) { onChanges(changes); });
     peers = std::make_unique<PeerService>(loop, log, *store);
 
     FleetLink::Callbacks fleetCallbacks;
-    fleetCallbacks.account = [this] { return OwnAccount { beliefs.book.own(), forwarder->uses() }; };
+    fleetCallbacks.account = [this] { return OwnAccount { clusterState.book.own(), forwarder->uses() }; };
     fleetCallbacks.pendingAdapters = [this] { return forwarder->pendingAdapters(); };
     fleetCallbacks.onPendingAdapters = [this](const NodeId &node, const std::vector<AdapterUse> &pendingAdapters) {
         orders->onPendingAdapters(node, pendingAdapters);
@@ -124,9 +124,9 @@
     const auto started = static_cast<std::uint64_t>(clock.wallTime().milliseconds());
     FleetIdentity identity { settings.node, Incarnation((started << 16U) | (std::random_device {}() & 0xffffU)), settings.zone,
         settings.zoneNames(), settings.cpuShare, settings.callerAddress, settings.peerAddress, settings.seeds };
-    fleet = std::make_unique<FleetLink>(loop, log, beliefs, std::move(identity), limits, std::move(fleetCallbacks));
+    fleet = std::make_unique<FleetLink>(loop, log, clusterState, std::move(identity), limits, std::move(fleetCallbacks));
 
-    orders = std::make_unique<OrderRunner>(loop, log, metrics, beliefs, *fleet, settings.node, [this] { return forwarder->uses(); });
+    orders = std::make_unique<OrderRunner>(loop, log, metrics, clusterState, *fleet, settings.node, [this] { return forwarder->uses(); });
 
     ForwarderSettings forwarding;
     forwarding.zone = settings.zone;
@@ -146,7 +146,7 @@
         return !isLeaving || passed < TakeAllAfterDrain || longest < settings.grace - ReserveBeforeKill - passed;
     };
     callbacks.ordersIn = [this] { return fleet->ordersIn(); };
-    forwarder = std::make_unique<RequestForwarder>(loop, log, metrics, beliefs, std::move(forwarding), std::move(callbacks));
+    forwarder = std::make_unique<RequestForwarder>(loop, log, metrics, clusterState, std::move(forwarding), std::move(callbacks));
 }
 
 Result<HttpServer *> EntryNode::Private::listen(const std::string &address, HttpHandler handler)
@@ -215,8 +215,8 @@
                        },
                        [](const UpstreamUpdated &) {},
                        [this](const UpstreamLeft &left) {
-                           beliefs.forgetRow(left.id);
-                           beliefs.outliers.remove(left.id);
+                           clusterState.forgetRow(left.id);
+                           clusterState.outliers.remove(left.id);
                            log.write(EventLog::Severity::Important, "upstream", "left",
                                { { "upstream", left.id.value() }, { "reason", left.reason } });
                        },
@@ -275,10 +275,10 @@
         return;
     }
     EntryGauges gauges;
-    gauges.configVersion = beliefs.routes != nullptr ? beliefs.routes->version().value() : 0;
+    gauges.configVersion = clusterState.routes != nullptr ? clusterState.routes->version().value() : 0;
     gauges.timeSinceStoreResponse = store->silence();
     gauges.peersAlive = static_cast<int>(fleet->alive().size());
-    gauges.upstreams = static_cast<int>(beliefs.upstreams.size());
+    gauges.upstreams = static_cast<int>(clusterState.upstreams.size());
     gauges.requestsInProgress = forwarder->activeCount();
     gauges.logLinesDropped = log.dropped();
     gauges.isReady = isReady();
--- a/main/entry/fleetlink.cpp
+++ b/main/entry/fleetlink.cpp
@@ -39,7 +39,7 @@
 {
     IoLoop &loop;
     EventLog &log;
-    Beliefs &beliefs;
+    ClusterState &clusterState;
     FleetIdentity identity;
     Callbacks callbacks;
     FleetScopeLimits scopeLimits;
@@ -63,10 +63,10 @@
     /** When the nodes that share no engines with this one were told last. */
     Time farToldAt;
 
-    Private(IoLoop &loop, EventLog &log, Beliefs &beliefs, FleetIdentity identity, OrderLeaseLimits limits, Callbacks callbacks)
+    Private(IoLoop &loop, EventLog &log, ClusterState &clusterState, FleetIdentity identity, OrderLeaseLimits limits, Callbacks callbacks)
         : loop(loop)
         , log(log)
-        , beliefs(beliefs)
+        , clusterState(clusterState)
         , identity(std::move(identity))
         , callbacks(std::move(callbacks))
         , scope(scopeLimits, this->identity.zone)
@@ -156,7 +156,7 @@
             message.lastOrders.push_back(*order);
         }
     }
-    message.configVersion = beliefs.routes != nullptr ? beliefs.routes->version() : ConfigVersion();
+    message.configVersion = clusterState.routes != nullptr ? clusterState.routes->version() : ConfigVersion();
     return message;
 }
 
@@ -166,7 +166,7 @@
     OwnAccount account = callbacks.account();
     message.loads = std::move(account.loads);
     message.uses = std::move(account.uses);
-    message.store = beliefs.loadEstimator.view();
+    message.store = clusterState.loadEstimator.view();
     return message;
 }
 
@@ -322,7 +322,7 @@
 {
     std::map<ZoneId, std::vector<EngineResidency>> byZone;
     for (const EngineResidency &residency : residencies) {
-        const UpstreamRecord *record = beliefs.upstreams.usable(residency.engine);
+        const UpstreamRecord *record = clusterState.upstreams.usable(residency.engine);
         if (record != nullptr) {
             byZone[shards.zoneOf(shards.shardOf(*record))].push_back(residency);
         }
@@ -356,18 +356,18 @@
         alive += isAlive(peer) ? 1 : 0;
     }
     std::set<ZoneId> engineZones;
-    if (beliefs.routes != nullptr) {
-        for (const RoutedService &service : beliefs.routes->services()) {
+    if (clusterState.routes != nullptr) {
+        for (const RoutedService &service : clusterState.routes->services()) {
             if (service.engine) {
-                for (const UpstreamRecord *record : beliefs.upstreams.usable(service.name)) {
+                for (const UpstreamRecord *record : clusterState.upstreams.usable(service.name)) {
                     engineZones.insert(record->zone);
                 }
             }
         }
     }
     scope.update(alive, engineZones);
-    if (beliefs.engineScope != scope.zone()) {
-        beliefs.engineScope = scope.zone();
+    if (clusterState.engineScope != scope.zone()) {
+        clusterState.engineScope = scope.zone();
         log.write(Important, "fleet", "scope", { { "zone", scope.zone().value() }, { "alive", std::int64_t(alive) } });
     }
 }
@@ -397,7 +397,7 @@
     if (isChanged) {
         log.write(Important, "fleet", "peer", { { "peer", peer.id.value() }, { "ready", peer.isReady }, { "leaving", peer.isLeaving } });
     }
-    const ConfigVersion own = beliefs.routes != nullptr ? beliefs.routes->version() : ConfigVersion();
+    const ConfigVersion own = clusterState.routes != nullptr ? clusterState.routes->version() : ConfigVersion();
     if (peer.configVersion > own) {
         callbacks.onLaterConfiguration(peer);
     }
@@ -412,7 +412,7 @@
 {
     FleetMessage answer = base();
     answer.contacts = someContacts(ContactsInGreeting);
-    answer.store = beliefs.loadEstimator.view();
+    answer.store = clusterState.loadEstimator.view();
     socket->send(from.peerAddress, encodeFleetMessage(answer));
 }
 
@@ -439,17 +439,17 @@
         socket->send(message.peerAddress, encodeFleetMessage(answer));
     }
     if (message.loads) {
-        beliefs.book.onPeerLoads(message.sender, *message.loads, now());
+        clusterState.book.onPeerLoads(message.sender, *message.loads, now());
         callbacks.onUses(message.sender, message.uses);
     } else if (!message.uses.empty()) {
         callbacks.onPendingAdapters(message.sender, message.uses);
     }
     if (message.store) {
-        beliefs.loadEstimator.adopt(*message.store, now());
+        clusterState.loadEstimator.adopt(*message.store, now());
     }
     bool isNews = false;
     for (const EngineResidency &residency : message.residencies) {
-        isNews = beliefs.putRow(residency, now()) || isNews;
+        isNews = clusterState.putRow(residency, now()) || isNews;
     }
     if (isNews) {
         callbacks.onRows();
@@ -489,8 +489,9 @@
     });
 }
 
-FleetLink::FleetLink(IoLoop &loop, EventLog &log, Beliefs &beliefs, FleetIdentity identity, OrderLeaseLimits limits, Callbacks callbacks)
-    : d(std::make_shared<Private>(loop, log, beliefs, std::move(identity), limits, std::move(callbacks)))
+FleetLink::FleetLink(
+    IoLoop &loop, EventLog &log, ClusterState &clusterState, FleetIdentity identity, OrderLeaseLimits limits, Callbacks callbacks)
+    : d(std::make_shared<Private>(loop, log, clusterState, std::move(identity), limits, std::move(callbacks)))
 {
 }
 
@@ -546,7 +547,7 @@
 {
     for (const EngineResidency &residency : residencies) {
         d->ownRows[residency.engine] = residency;
-        d->beliefs.putRow(residency, d->now());
+        d->clusterState.putRow(residency, d->now());
     }
     d->tellRows(residencies);
     d->callbacks.onRows();
--- a/main/entry/fleetlink.h
+++ b/main/entry/fleetlink.h
@@ -91,7 +91,8 @@
         std::function<void(const Peer &)> onLaterConfiguration;
     };
 
-    FleetLink(IoLoop &loop, EventLog &log, Beliefs &beliefs, FleetIdentity identity, OrderLeaseLimits limits, Callbacks callbacks);
+    FleetLink(
+        IoLoop &loop, EventLog &log, ClusterState &clusterState, FleetIdentity identity, OrderLeaseLimits limits, Callbacks callbacks);
     ~FleetLink();
 
     /** Opens the socket and begins. Errors: SettingsInvalid. */
--- a/main/entry/orderrunner.cpp
+++ b/main/entry/orderrunner.cpp
@@ -55,7 +55,7 @@
     IoLoop &loop;
     EventLog &log;
     EntryMetrics &metrics;
-    Beliefs &beliefs;
+    ClusterState &clusterState;
     FleetLink &fleet;
     EngineShard shard;
     NodeId self;
@@ -70,12 +70,12 @@
     std::vector<bool> orderedShards;
     Time orderedAt;
 
-    Private(IoLoop &loop, EventLog &log, EntryMetrics &metrics, Beliefs &beliefs, FleetLink &fleet, EngineShard shard, NodeId self,
-        std::function<std::vector<AdapterUse>()> ownUses)
+    Private(IoLoop &loop, EventLog &log, EntryMetrics &metrics, ClusterState &clusterState, FleetLink &fleet, EngineShard shard,
+        NodeId self, std::function<std::vector<AdapterUse>()> ownUses)
         : loop(loop)
         , log(log)
         , metrics(metrics)
-        , beliefs(beliefs)
+        , clusterState(clusterState)
         , fleet(fleet)
         , shard(shard)
         , self(std::move(self))
@@ -128,7 +128,7 @@
     }
     if (plan == nullptr || fence != *token) {
         fence = *token;
-        plan = std::make_unique<AdapterPlan>(AdapterPlanLimits {}, fence, beliefs.loadEstimator);
+        plan = std::make_unique<AdapterPlan>(AdapterPlanLimits {}, fence, clusterState.loadEstimator);
         log.write(EventLog::Severity::Important, "orders", "started",
             { { "shard", std::int64_t(shard.value()) }, { "fence", static_cast<std::int64_t>(fence.value()) } });
     }
@@ -150,22 +150,23 @@
 std::vector<PlannedEngine> OrderRunner::Private::engines() const
 {
     std::vector<PlannedEngine> result;
-    if (beliefs.routes == nullptr) {
+    if (clusterState.routes == nullptr) {
         return result;
     }
-    for (const RoutedService &service : beliefs.routes->services()) {
+    for (const RoutedService &service : clusterState.routes->services()) {
         if (!service.engine) {
             continue;
         }
-        for (const UpstreamRecord *record : beliefs.upstreams.usable(service.name)) {
+        for (const UpstreamRecord *record : clusterState.upstreams.usable(service.name)) {
             const EngineShard owner = fleet.shards().shardOf(*record);
             if (!fleet.areWeighedTogether(owner, shard)) {
                 continue;
             }
-            const FleetLoad load = beliefs.book.load(record->id, now());
+            const FleetLoad load = clusterState.book.load(record->id, now());
             const bool hasHolder = orderedShards[owner.value()];
-            result.push_back(PlannedEngine { record, &*service.engine, load.running, load.pendingTokens,
-                beliefs.outliers.share(record->id, now()), owner == shard, hasHolder, beliefs.outliers.isReachable(record->id, now()) });
+            result.push_back(
+                PlannedEngine { record, &*service.engine, load.running, load.pendingTokens, clusterState.outliers.share(record->id, now()),
+                    owner == shard, hasHolder, clusterState.outliers.isReachable(record->id, now()) });
         }
     }
     return result;
@@ -190,7 +191,7 @@
         return;
     }
     storeLoggedAt = now();
-    const AdapterLoadEstimator &loads = beliefs.loadEstimator;
+    const AdapterLoadEstimator &loads = clusterState.loadEstimator;
     log.write(EventLog::Severity::Important, "orders", "store",
         { { "shard", std::int64_t(shard.value()) }, { "fetches", std::int64_t(loads.fetchesInFlight()) },
             { "fetchesAtOnce", std::int64_t(loads.maxConcurrentFetches()) }, { "shortestMs", loads.minFetchTime().milliseconds() },
@@ -220,9 +221,9 @@
     }
     decidedAt = now();
     updateOrdered();
-    plan->setEngines(engines(), beliefs.residencies, now());
+    plan->setEngines(engines(), clusterState.residencies, now());
     plan->setRotation(turn());
-    for (const auto &[adapter, known] : beliefs.versions) {
+    for (const auto &[adapter, known] : clusterState.versions) {
         plan->setVersion(adapter, known.version);
     }
     plan->onUses(self, ownUses(), now());
@@ -260,7 +261,7 @@
 
 void OrderRunner::Private::give(const EngineOrder &order)
 {
-    const UpstreamRecord *record = beliefs.upstreams.usable(order.engine);
+    const UpstreamRecord *record = clusterState.upstreams.usable(order.engine);
     const FencingToken under = fence;
     if (record == nullptr) {
         plan->onOrderAnswer(order, OrderAnswer::WrongEngine, now());
@@ -299,7 +300,7 @@
 
 void OrderRunner::Private::askReport(const UpstreamId &engine)
 {
-    const UpstreamRecord *record = beliefs.upstreams.usable(engine);
+    const UpstreamRecord *record = clusterState.upstreams.usable(engine);
     if (record == nullptr) {
         return;
     }
@@ -329,11 +330,11 @@
     loop.client().start(std::move(call));
 }
 
-OrderRunner::OrderRunner(IoLoop &loop, EventLog &log, EntryMetrics &metrics, Beliefs &beliefs, FleetLink &fleet, const NodeId &self,
-    const std::function<std::vector<AdapterUse>()> &ownUses)
+OrderRunner::OrderRunner(IoLoop &loop, EventLog &log, EntryMetrics &metrics, ClusterState &clusterState, FleetLink &fleet,
+    const NodeId &self, const std::function<std::vector<AdapterUse>()> &ownUses)
 {
     for (std::uint64_t shard = 0; shard < fleet.shards().count(); ++shard) {
-        m_shards.push_back(std::make_shared<Private>(loop, log, metrics, beliefs, fleet, EngineShard(shard), self, ownUses));
+        m_shards.push_back(std::make_shared<Private>(loop, log, metrics, clusterState, fleet, EngineShard(shard), self, ownUses));
     }
 }
 
--- a/main/entry/orderrunner.h
+++ b/main/entry/orderrunner.h
@@ -19,7 +19,7 @@
 {
 public:
     /** @p ownUses: what this node runs and waits for. */
-    OrderRunner(IoLoop &loop, EventLog &log, EntryMetrics &metrics, Beliefs &beliefs, FleetLink &fleet, const NodeId &self,
+    OrderRunner(IoLoop &loop, EventLog &log, EntryMetrics &metrics, ClusterState &clusterState, FleetLink &fleet, const NodeId &self,
         const std::function<std::vector<AdapterUse>()> &ownUses);
     ~OrderRunner();
 
--- a/main/entry/requestforwarder.cpp
+++ b/main/entry/requestforwarder.cpp
@@ -29,7 +29,7 @@
     IoLoop &m_loop;
     EventLog &m_log;
     EntryMetrics &m_metrics;
-    Beliefs &m_beliefs;
+    ClusterState &m_beliefs;
     ForwarderSettings m_settings;
     ForwarderCallbacks m_callbacks;
     std::mt19937_64 m_random { std::random_device {}() };
@@ -39,11 +39,12 @@
     /** Adapters whose copies are crowded, and since when that was last seen. */
     std::map<AdapterRef, Time> crowded;
 
-    Private(IoLoop &loop, EventLog &log, EntryMetrics &metrics, Beliefs &beliefs, ForwarderSettings settings, ForwarderCallbacks callbacks)
+    Private(IoLoop &loop, EventLog &log, EntryMetrics &metrics, ClusterState &clusterState, ForwarderSettings settings,
+        ForwarderCallbacks callbacks)
         : m_loop(loop)
         , m_log(log)
         , m_metrics(metrics)
-        , m_beliefs(beliefs)
+        , m_beliefs(clusterState)
         , m_settings(std::move(settings))
         , m_callbacks(std::move(callbacks))
     {
@@ -61,7 +62,7 @@
     {
         return m_metrics;
     }
-    Beliefs &beliefs() override
+    ClusterState &clusterState() override
     {
         return m_beliefs;
     }
@@ -144,9 +145,9 @@
         { { "request", id }, { "reason", std::string(answer.word) }, { "detail", detail } });
 }
 
-RequestForwarder::RequestForwarder(
-    IoLoop &loop, EventLog &log, EntryMetrics &metrics, Beliefs &beliefs, ForwarderSettings settings, ForwarderCallbacks callbacks)
-    : d(std::make_shared<Private>(loop, log, metrics, beliefs, std::move(settings), std::move(callbacks)))
+RequestForwarder::RequestForwarder(IoLoop &loop, EventLog &log, EntryMetrics &metrics, ClusterState &clusterState,
+    ForwarderSettings settings, ForwarderCallbacks callbacks)
+    : d(std::make_shared<Private>(loop, log, metrics, clusterState, std::move(settings), std::move(callbacks)))
 {
 }
 
--- a/main/entry/requestforwarder.h
+++ b/main/entry/requestforwarder.h
@@ -46,8 +46,8 @@
 class RequestForwarder
 {
 public:
-    RequestForwarder(
-        IoLoop &loop, EventLog &log, EntryMetrics &metrics, Beliefs &beliefs, ForwarderSettings settings, ForwarderCallbacks callbacks);
+    RequestForwarder(IoLoop &loop, EventLog &log, EntryMetrics &metrics, ClusterState &clusterState, ForwarderSettings settings,
+        ForwarderCallbacks callbacks);
     ~RequestForwarder();
 
     void onRequest(HttpRequest request, std::shared_ptr<HttpExchange> exchange);
--- a/main/entry/requestjob.cpp
+++ b/main/entry/requestjob.cpp
@@ -177,12 +177,12 @@
     if (!needsAdapter()) {
         return record.models.empty() || record.holds(m_decoded.generation->model);
     }
-    const auto copy = m_context.beliefs().residencies.copy(record, adapter());
-    if (!copy || !copy->isReady || !m_context.beliefs().outliers.isReachable(record.id, now())) {
+    const auto copy = m_context.clusterState().residencies.copy(record, adapter());
+    if (!copy || !copy->isReady || !m_context.clusterState().outliers.isReachable(record.id, now())) {
         return false;
     }
-    const auto known = m_context.beliefs().versions.find(adapter());
-    if (known == m_context.beliefs().versions.end() || copy->version == known->second.version) {
+    const auto known = m_context.clusterState().versions.find(adapter());
+    if (known == m_context.clusterState().versions.end() || copy->version == known->second.version) {
         return true;
     }
     // An old copy serves while the new one is on its way, but never up to the bound: a request must have begun well before it.
@@ -192,11 +192,11 @@
 std::vector<UpstreamOption> RequestJob::options()
 {
     std::vector<UpstreamOption> result;
-    Beliefs &beliefs = m_context.beliefs();
-    for (const UpstreamRecord *record : m_decoded.generation ? beliefs.engines(m_service) : beliefs.upstreams.usable(m_service)) {
+    ClusterState &clusterState = m_context.clusterState();
+    for (const UpstreamRecord *record : m_decoded.generation ? clusterState.engines(m_service) : clusterState.upstreams.usable(m_service)) {
         if (mayUse(*record)) {
-            result.push_back(UpstreamOption { record, beliefs.book.load(record->id, now()), beliefs.outliers.share(record->id, now()),
-                record->zone == m_context.settings().zone });
+            result.push_back(UpstreamOption { record, clusterState.book.load(record->id, now()),
+                clusterState.outliers.share(record->id, now()), record->zone == m_context.settings().zone });
         }
     }
     return result;
@@ -205,8 +205,8 @@
 // Whether waiting can help: an adapter may come to stand somewhere.
 bool RequestJob::canStillServe() const
 {
-    return needsAdapter() && !m_context.beliefs().upstreams.usable(m_service).empty()
-        && m_context.beliefs().engineSpec(m_service) != nullptr;
+    return needsAdapter() && !m_context.clusterState().upstreams.usable(m_service).empty()
+        && m_context.clusterState().engineSpec(m_service) != nullptr;
 }
 
 void RequestJob::tryNext()
@@ -243,7 +243,7 @@
 
 Duration RequestJob::fetches(double count) const
 {
-    const auto one = static_cast<double>(m_context.beliefs().loadEstimator.minFetchTime().milliseconds());
+    const auto one = static_cast<double>(m_context.clusterState().loadEstimator.minFetchTime().milliseconds());
     return Duration(static_cast<std::int64_t>(count * one));
 }
 
@@ -299,14 +299,14 @@
     m_upstream = record;
     m_version = AdapterVersion();
     if (needsAdapter()) {
-        const auto copy = m_context.beliefs().residencies.copy(record, adapter());
+        const auto copy = m_context.clusterState().residencies.copy(record, adapter());
         m_version = copy ? copy->version : AdapterVersion();
     }
     m_answer.reset();
     m_body.clear();
     m_sentAt = now();
     m_isUnread = true;
-    m_context.beliefs().book.onSent(record.id, promptTokens());
+    m_context.clusterState().book.onSent(record.id, promptTokens());
     m_context.log().write(Step, "request", "sent",
         { { "request", m_decoded.id }, { "upstream", record.id.value() }, { "arrival", std::int64_t(m_arrivals + 1) },
             { "version", m_version.value() }, { "leftMs", timeLeft().milliseconds() },
@@ -359,7 +359,7 @@
 // Asked right before the first byte leaves: a process that slept wakes here with facts that are long past.
 bool RequestJob::maySend() const
 {
-    const UpstreamRecord *record = m_context.beliefs().upstreams.usable(m_upstream.id);
+    const UpstreamRecord *record = m_context.clusterState().upstreams.usable(m_upstream.id);
     const Duration left = m_deadline - m_context.loop().clock().now();
     return m_phase == Phase::Sent && left >= LeastUsefulTime && record != nullptr && record->startedAt == m_upstream.startedAt;
 }
@@ -389,7 +389,7 @@
         return;
     }
     if (std::exchange(m_isUnread, false)) {
-        m_context.beliefs().book.onFirstToken(m_upstream.id, promptTokens());
+        m_context.clusterState().book.onFirstToken(m_upstream.id, promptTokens());
     }
     if (!m_isStreaming) {
         m_isStreaming = true;
@@ -449,7 +449,7 @@
 void RequestJob::endAttempt()
 {
     m_context.loop().cancel(m_silenceTimer);
-    m_context.beliefs().book.onEnded(m_upstream.id, m_isUnread ? promptTokens() : 0);
+    m_context.clusterState().book.onEnded(m_upstream.id, m_isUnread ? promptTokens() : 0);
     m_call = 0;
 }
 
@@ -477,7 +477,7 @@
     case AttemptState::NotSent:
         m_tried.insert(m_upstream.id);
         if (result.error != ErrorKind::DeadlinePassed) {
-            m_context.beliefs().outliers.onUnreachable(m_upstream.id, now());
+            m_context.clusterState().outliers.onUnreachable(m_upstream.id, now());
         }
         m_context.log().write(Step, "request", "not_sent",
             { { "request", m_decoded.id }, { "upstream", m_upstream.id.value() }, { "reason", result.detail } });
@@ -508,7 +508,7 @@
         onServerFailure();
         return;
     }
-    m_context.beliefs().outliers.onSuccess(m_upstream.id, now());
+    m_context.clusterState().outliers.onSuccess(m_upstream.id, now());
     if (!m_isStreaming) {
         const Platform::UpstreamAnswer answer = *m_answer;
         deliver(answer, std::move(m_body));
@@ -528,7 +528,7 @@
     m_context.log().write(Step, "request", "not_run",
         { { "request", m_decoded.id }, { "upstream", m_upstream.id.value() }, { "status", std::int64_t(m_answer->status) } });
     if (m_answer->status == MisdirectedStatus && needsAdapter()) {
-        m_context.beliefs().residencies.markMissing(m_upstream.id, adapter());
+        m_context.clusterState().residencies.markMissing(m_upstream.id, adapter());
     }
     m_tried.insert(m_upstream.id);
     tryNext();
@@ -537,7 +537,7 @@
 void RequestJob::onServerFailure()
 {
     m_context.metrics().upstreamFailed("failed");
-    m_context.beliefs().outliers.onFailure(m_upstream.id, now());
+    m_context.clusterState().outliers.onFailure(m_upstream.id, now());
     m_context.log().write(Important, "request", "upstream_failed",
         { { "request", m_decoded.id }, { "upstream", m_upstream.id.value() }, { "status", std::int64_t(m_answer->status) } });
     if (m_isStreaming) {
@@ -554,7 +554,7 @@
     m_context.metrics().upstreamFailed("broken");
     ++m_runs;
     m_outcome = Outcome::MayHaveRun;
-    m_context.beliefs().outliers.onFailure(m_upstream.id, now());
+    m_context.clusterState().outliers.onFailure(m_upstream.id, now());
     m_context.log().write(Important, "request", "broken",
         { { "request", m_decoded.id }, { "upstream", m_upstream.id.value() }, { "reason", result.detail },
             { "afterMs", (now() - m_sentAt).milliseconds() } });
--- a/main/entry/requestjob.h
+++ b/main/entry/requestjob.h
@@ -21,7 +21,7 @@
     virtual ~RequestContext() = default;
     virtual IoLoop &loop() = 0;
     virtual EventLog &log() = 0;
-    virtual Beliefs &beliefs() = 0;
+    virtual ClusterState &clusterState() = 0;
     virtual EntryMetrics &metrics() = 0;
     virtual const ForwarderSettings &settings() const = 0;
     virtual const ForwarderCallbacks &callbacks() const = 0;
--- a/main/entry/storereader.cpp
+++ b/main/entry/storereader.cpp
@@ -32,7 +32,7 @@
 {
     IoLoop &loop;
     EventLog &log;
-    Beliefs &beliefs;
+    ClusterState &clusterState;
     OnChanges onChanges;
     const StoreCallLimits limits;
     std::unique_ptr<StoreCaller> caller;
@@ -54,10 +54,10 @@
     bool isPaused = false;
     Time regainedAt = Time::never();
 
-    Private(IoLoop &loop, EventLog &log, Beliefs &beliefs, Duration bound, OnChanges onChanges)
+    Private(IoLoop &loop, EventLog &log, ClusterState &clusterState, Duration bound, OnChanges onChanges)
         : loop(loop)
         , log(log)
-        , beliefs(beliefs)
+        , clusterState(clusterState)
         , onChanges(std::move(onChanges))
         , limits(StoreCallLimits::within(bound))
         , lastAnswer(loop.clock().now())
@@ -125,7 +125,7 @@
     if (isLost) {
         isLost = false;
         if (hasReadAll && silence >= OutageThatLosesEntries) {
-            beliefs.upstreams.onStoreRegained(now);
+            clusterState.upstreams.onStoreRegained(now);
             regainedAt = now;
         }
         log.write(Important, "store", "regained", { { "silenceMs", silence.milliseconds() } });
@@ -177,7 +177,7 @@
         hasReadAll = true;
         log.write(Important, "store", "read",
             { { "revision", static_cast<std::int64_t>(*watchFrom) },
-                { "upstreams", static_cast<std::int64_t>(beliefs.upstreams.size()) } });
+                { "upstreams", static_cast<std::int64_t>(clusterState.upstreams.size()) } });
     }
     publish(changes);
     watch();
@@ -227,7 +227,7 @@
 Duration StoreReader::Private::pauseAfterAnswer() const
 {
     const Time now = loop.clock().now();
-    const Time graceOver = beliefs.upstreams.gracePeriodEnd() + GraceMargin;
+    const Time graceOver = clusterState.upstreams.gracePeriodEnd() + GraceMargin;
     const Time next = askedAt + limits.pollDelay;
     return std::max((now < graceOver ? std::min(next, graceOver) : next) - now, Duration(0));
 }
@@ -235,7 +235,7 @@
 void StoreReader::Private::knowUntil(Time moment, BeliefChanges &changes)
 {
     knownUntil = std::max(knownUntil, moment);
-    for (UpstreamChange &change : beliefs.upstreams.endGracePeriods(knownUntil)) {
+    for (UpstreamChange &change : clusterState.upstreams.endGracePeriods(knownUntil)) {
         changes.upstreams.push_back(std::move(change));
     }
 }
@@ -266,7 +266,7 @@
         return; // The last one stays in force.
     }
     auto decoded = Platform::decodeConfiguration(item.value);
-    if (decoded.isOk() && beliefs.routes != nullptr && decoded.value().version <= beliefs.routes->version()) {
+    if (decoded.isOk() && clusterState.routes != nullptr && decoded.value().version <= clusterState.routes->version()) {
         return;
     }
     const auto table = decoded.isOk() ? RouteTable::make(std::move(decoded.value())) : decoded.error();
@@ -274,10 +274,10 @@
         log.write(Important, "config", "refused", { { "reason", table.error().detail }, { "source", source } });
         return;
     }
-    beliefs.routes = table.value();
+    clusterState.routes = table.value();
     changes.isRoutesChanged = true;
     log.write(Important, "config", "in_force",
-        { { "version", static_cast<std::int64_t>(beliefs.routes->version().value()) },
+        { { "version", static_cast<std::int64_t>(clusterState.routes->version().value()) },
             { "revision", static_cast<std::int64_t>(item.revision) }, { "source", source } });
 }
 
@@ -286,12 +286,12 @@
     const Time now = loop.clock().now();
     std::vector<UpstreamChange> found;
     if (item.isDeleted) {
-        found = beliefs.upstreams.remove(id, "the store removed it", now);
+        found = clusterState.upstreams.remove(id, "the store removed it", now);
     } else if (auto record = Platform::decodeUpstream(id, item.value); record.isOk()) {
-        found = beliefs.upstreams.put(record.value(), now);
+        found = clusterState.upstreams.put(record.value(), now);
     } else {
         log.write(Important, "upstream", "unreadable", { { "upstream", id.value() }, { "reason", record.error().detail } });
-        found = beliefs.upstreams.remove(id, "its entry cannot be read", now);
+        found = clusterState.upstreams.remove(id, "its entry cannot be read", now);
     }
     for (UpstreamChange &change : found) {
         changes.upstreams.push_back(std::move(change));
@@ -309,7 +309,7 @@
         return;
     }
     const AdapterRef adapter { announcement.value().model, announcement.value().adapter.id };
-    KnownVersion &known = beliefs.versions[adapter];
+    KnownVersion &known = clusterState.versions[adapter];
     if (known.version == announcement.value().adapter.version) {
         return;
     }
@@ -325,8 +325,9 @@
     }
 }
 
-StoreReader::StoreReader(IoLoop &loop, EventLog &log, Beliefs &beliefs, std::string storeAddress, Duration changeBound, OnChanges onChanges)
-    : d(std::make_shared<Private>(loop, log, beliefs, changeBound, std::move(onChanges)))
+StoreReader::StoreReader(
+    IoLoop &loop, EventLog &log, ClusterState &clusterState, std::string storeAddress, Duration changeBound, OnChanges onChanges)
+    : d(std::make_shared<Private>(loop, log, clusterState, changeBound, std::move(onChanges)))
 {
     d->makeCaller(std::move(storeAddress));
 }
@@ -364,7 +365,7 @@
     const Time now = d->loop.clock().now();
     if (offered.regainedAgo) {
         // The peer saw the store away; what it then lists no longer may come back as if this node had seen it itself.
-        d->beliefs.upstreams.onStoreRegained(now - *offered.regainedAgo);
+        d->clusterState.upstreams.onStoreRegained(now - *offered.regainedAgo);
         d->regainedAt = now - *offered.regainedAgo;
     }
     BeliefChanges changes;
--- a/main/entry/storereader.h
+++ b/main/entry/storereader.h
@@ -48,7 +48,8 @@
     using OnChanges = std::function<void(const BeliefChanges &)>;
 
     /** @p changeBound: a change has to be in force within this. */
-    StoreReader(IoLoop &loop, EventLog &log, Beliefs &beliefs, std::string storeAddress, Duration changeBound, OnChanges onChanges);
+    StoreReader(
+        IoLoop &loop, EventLog &log, ClusterState &clusterState, std::string storeAddress, Duration changeBound, OnChanges onChanges);
     ~StoreReader();
 
     void start();
--- a/tests/main/testentrynode.cpp
+++ b/tests/main/testentrynode.cpp
@@ -369,9 +369,9 @@
     const SystemClock clock;
     const ScriptedUpstream store(&answerInTwoPages);
     EventLog log(clock, "n1");
-    Beliefs beliefs;
+    ClusterState clusterState;
     IoLoop loop(clock);
-    StoreReader reader(loop, log, beliefs, store.address(), Duration::seconds(2), [](const BeliefChanges &) {});
+    StoreReader reader(loop, log, clusterState, store.address(), Duration::seconds(2), [](const BeliefChanges &) {});
     const Platform::StoreItem told { "servers/told", upstreamEntry("10.0.0.2:1"), 40, false };
     loop.after(Duration(SecondPageTime.milliseconds() / 2), [&] {
         cr_assert_not(reader.hasReadAll());
@@ -381,6 +381,6 @@
     reader.start();
     loop.run();
     cr_assert(reader.hasReadAll());
-    cr_assert_eq(beliefs.upstreams.size(), 3);
-    cr_assert_not_null(beliefs.upstreams.usable(UpstreamId("told")));
+    cr_assert_eq(clusterState.upstreams.size(), 3);
+    cr_assert_not_null(clusterState.upstreams.usable(UpstreamId("told")));
 }
--- a/tests/main/testrequestforwarder.cpp
+++ b/tests/main/testrequestforwarder.cpp
@@ -37,7 +37,7 @@
     IoLoop loop { clock };
     EventLog log { clock, "test" };
     EntryMetrics metrics;
-    Beliefs beliefs;
+    ClusterState clusterState;
     std::unique_ptr<RequestForwarder> forwarder;
     bool isLeaving = false;
     std::optional<Duration> ordersIn = Duration(0);
@@ -50,7 +50,7 @@
         callbacks.isLeaving = [this] { return isLeaving; };
         callbacks.canAccept = [](Duration) { return true; };
         callbacks.ordersIn = [this] { return ordersIn; };
-        forwarder = std::make_unique<RequestForwarder>(loop, log, metrics, beliefs, ForwarderSettings {}, std::move(callbacks));
+        forwarder = std::make_unique<RequestForwarder>(loop, log, metrics, clusterState, ForwarderSettings {}, std::move(callbacks));
     }
 
     void configure(RequestKind kind, int maxAttempts, bool isResumable = false, Duration timeout = Duration(1500))
@@ -72,7 +72,7 @@
         route.targets = { RouteTarget { ServiceName("svc"), 1 } };
         source.routes.push_back(route);
         source.limits.bodyBytes = 1000;
-        beliefs.routes = RouteTable::make(source).value();
+        clusterState.routes = RouteTable::make(source).value();
     }
     void addUpstream(const std::string &id, const ScriptedUpstream &upstream)
     {
@@ -82,7 +82,7 @@
         record.address = upstream.address();
         record.slots = 4;
         record.startedAt = 1;
-        beliefs.upstreams.put(record, clock.now());
+        clusterState.upstreams.put(record, clock.now());
     }
     static HttpRequest request(const std::string &method = "POST")
     {
@@ -365,7 +365,7 @@
     Bench bench;
     bench.configure(RequestKind::Stream, 2, true);
     bench.addUpstream("u1", upstream);
-    bench.beliefs.residencies.put(EngineResidency {
+    bench.clusterState.residencies.put(EngineResidency {
         UpstreamId("u1"), 1, FencingToken(1), 1, { AdapterCopy { BaseModelId("m"), AdapterId("a7"), AdapterVersion("1"), true } } });
     HttpRequest request = Bench::request();
     request.headers["apricotstep-model"] = "m/a7";
