--- a/main/entry/beliefs.h
+++ b/main/entry/beliefs.h
@@ -32,7 +32,7 @@
     ResidencyTable residencies;
     AdapterLoadEstimator loadEstimator;
     std::map<AdapterRef, KnownVersion> versions;
-    UpstreamLoadTracker book;
+    UpstreamLoadTracker loadTracker;
     /** Which engines this node uses; empty: all. */
     ZoneId engineScope;
     OutlierDetector outliers { OutlierLimits {} };
--- a/main/entry/entrynode.cpp
+++ b/main/entry/entrynode.cpp
@@ -108,7 +108,7 @@
     peers = std::make_unique<PeerService>(loop, log, *store);
 
     FleetLink::Callbacks fleetCallbacks;
-    fleetCallbacks.account = [this] { return OwnAccount { clusterState.book.own(), forwarder->uses() }; };
+    fleetCallbacks.account = [this] { return OwnAccount { clusterState.loadTracker.own(), forwarder->uses() }; };
     fleetCallbacks.pendingAdapters = [this] { return forwarder->pendingAdapters(); };
     fleetCallbacks.onPendingAdapters = [this](const NodeId &node, const std::vector<AdapterUse> &pendingAdapters) {
         orders->onPendingAdapters(node, pendingAdapters);
--- a/main/entry/fleetlink.cpp
+++ b/main/entry/fleetlink.cpp
@@ -439,7 +439,7 @@
         socket->send(message.peerAddress, encodeFleetMessage(answer));
     }
     if (message.loads) {
-        clusterState.book.onPeerLoads(message.sender, *message.loads, now());
+        clusterState.loadTracker.onPeerLoads(message.sender, *message.loads, now());
         callbacks.onUses(message.sender, message.uses);
     } else if (!message.uses.empty()) {
         callbacks.onPendingAdapters(message.sender, message.uses);
--- a/main/entry/orderrunner.cpp
+++ b/main/entry/orderrunner.cpp
@@ -162,7 +162,7 @@
             if (!fleet.areWeighedTogether(owner, shard)) {
                 continue;
             }
-            const FleetLoad load = clusterState.book.load(record->id, now());
+            const FleetLoad load = clusterState.loadTracker.load(record->id, now());
             const bool hasHolder = orderedShards[owner.value()];
             result.push_back(
                 PlannedEngine { record, &*service.engine, load.running, load.pendingTokens, clusterState.outliers.share(record->id, now()),
--- a/main/entry/requestjob.cpp
+++ b/main/entry/requestjob.cpp
@@ -195,7 +195,7 @@
     ClusterState &clusterState = m_context.clusterState();
     for (const UpstreamRecord *record : m_decoded.generation ? clusterState.engines(m_service) : clusterState.upstreams.usable(m_service)) {
         if (mayUse(*record)) {
-            result.push_back(UpstreamOption { record, clusterState.book.load(record->id, now()),
+            result.push_back(UpstreamOption { record, clusterState.loadTracker.load(record->id, now()),
                 clusterState.outliers.share(record->id, now()), record->zone == m_context.settings().zone });
         }
     }
@@ -306,7 +306,7 @@
     m_body.clear();
     m_sentAt = now();
     m_isUnread = true;
-    m_context.clusterState().book.onSent(record.id, promptTokens());
+    m_context.clusterState().loadTracker.onSent(record.id, promptTokens());
     m_context.log().write(Step, "request", "sent",
         { { "request", m_decoded.id }, { "upstream", record.id.value() }, { "arrival", std::int64_t(m_arrivals + 1) },
             { "version", m_version.value() }, { "leftMs", timeLeft().milliseconds() },
@@ -389,7 +389,7 @@
         return;
     }
     if (std::exchange(m_isUnread, false)) {
-        m_context.clusterState().book.onFirstToken(m_upstream.id, promptTokens());
+        m_context.clusterState().loadTracker.onFirstToken(m_upstream.id, promptTokens());
     }
     if (!m_isStreaming) {
         m_isStreaming = true;
@@ -449,7 +449,7 @@
 void RequestJob::endAttempt()
 {
     m_context.loop().cancel(m_silenceTimer);
-    m_context.clusterState().book.onEnded(m_upstream.id, m_isUnread ? promptTokens() : 0);
+    m_context.clusterState().loadTracker.onEnded(m_upstream.id, m_isUnread ? promptTokens() : 0);
     m_call = 0;
 }
 
