--- a/bench/configspread.cpp
+++ b/bench/configspread.cpp
@@ -1,7 +1,7 @@
 // How fast a configuration change is in force on all nodes, what it costs a node, and how many calls the service sees, in virtual time.
 // The nodes run the real ConfigSync; service, peers and rumours are the fakes of tests/coordination/configworld.h.
 
-#include "tests/coordination/configworld.h"
+#include "tests/coordination/configtestcluster.h"
 
 #include <cstdio>
 
--- a/bench/retries.cpp
+++ b/bench/retries.cpp
@@ -3,7 +3,7 @@
 
 #include "coordination/attempt.h"
 #include "coordination/concurrencylimit.h"
-#include "coordination/outliers.h"
+#include "coordination/outlierdetector.h"
 
 #include <algorithm>
 #include <array>
--- a/coordination/adapterloads.cpp
+++ b/coordination/adapterloadestimator.cpp
@@ -1,4 +1,4 @@
-#include "coordination/adapterloads.h"
+#include "coordination/adapterloadestimator.h"
 
 #include "core/hash.h"
 
--- a/coordination/adapterloads.h
+++ b/coordination/adapterloadestimator.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "coordination/enginerows.h"
 #include "coordination/fleetmessage.h"
+#include "coordination/residencytable.h"
 #include "core/clock.h"
 #include "core/strongid.h"
 
--- a/coordination/adapterplan.cpp
+++ b/coordination/adapterplan.cpp
@@ -1,7 +1,7 @@
 #include "coordination/adapterplan.h"
 
 #include "coordination/fleetdemand.h"
-#include "coordination/wantorder.h"
+#include "coordination/pendingadapterorder.h"
 #include "core/hash.h"
 
 #include <algorithm>
--- a/coordination/adapterplan.h
+++ b/coordination/adapterplan.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "coordination/adapterloads.h"
+#include "coordination/adapterloadestimator.h"
 #include "coordination/engineorder.h"
-#include "coordination/enginerows.h"
 #include "coordination/fleetmessage.h"
+#include "coordination/residencytable.h"
 #include "core/clock.h"
 #include "core/strongid.h"
 #include "state/routetable.h"
--- a/coordination/configjob.cpp
+++ b/coordination/configassembler.cpp
@@ -1,4 +1,4 @@
-#include "coordination/configjob.h"
+#include "coordination/configassembler.h"
 
 namespace ApricotStep
 {
--- a/coordination/configsync.cpp
+++ b/coordination/configsync.cpp
@@ -1,6 +1,6 @@
 #include "coordination/configsync.h"
 
-#include "coordination/configjob.h"
+#include "coordination/configassembler.h"
 #include "coordination/rendezvous.h"
 
 #include <absl/container/flat_hash_map.h>
--- a/coordination/residency.cpp
+++ b/coordination/engineslots.cpp
@@ -1,4 +1,4 @@
-#include "coordination/residency.h"
+#include "coordination/engineslots.h"
 
 #include <absl/container/btree_set.h>
 #include <absl/container/flat_hash_map.h>
--- a/coordination/loadorder.cpp
+++ b/coordination/loadqueue.cpp
@@ -1,4 +1,4 @@
-#include "coordination/loadorder.h"
+#include "coordination/loadqueue.h"
 
 #include <absl/container/btree_set.h>
 #include <absl/container/flat_hash_map.h>
--- a/coordination/outliers.cpp
+++ b/coordination/outlierdetector.cpp
@@ -1,4 +1,4 @@
-#include "coordination/outliers.h"
+#include "coordination/outlierdetector.h"
 
 #include <absl/container/flat_hash_map.h>
 
--- a/coordination/wantorder.cpp
+++ b/coordination/pendingadapterorder.cpp
@@ -1,4 +1,4 @@
-#include "coordination/wantorder.h"
+#include "coordination/pendingadapterorder.h"
 
 #include <algorithm>
 #include <tuple>
--- a/coordination/enginerows.cpp
+++ b/coordination/residencytable.cpp
@@ -1,4 +1,4 @@
-#include "coordination/enginerows.h"
+#include "coordination/residencytable.h"
 
 #include <tuple>
 #include <utility>
--- a/coordination/storecalls.cpp
+++ b/coordination/storecallscheduler.cpp
@@ -1,4 +1,4 @@
-#include "coordination/storecalls.h"
+#include "coordination/storecallscheduler.h"
 
 #include <algorithm>
 
--- a/coordination/upstreamchoice.h
+++ b/coordination/upstreamchoice.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "coordination/upstreambook.h"
+#include "coordination/upstreamloadtracker.h"
 #include "core/clock.h"
 #include "state/upstreamrecord.h"
 
--- a/coordination/upstreambook.cpp
+++ b/coordination/upstreamloadtracker.cpp
@@ -1,4 +1,4 @@
-#include "coordination/upstreambook.h"
+#include "coordination/upstreamloadtracker.h"
 
 #include <algorithm>
 
--- a/coordination/upstreamscheduler.cpp
+++ b/coordination/upstreamscheduler.cpp
@@ -1,7 +1,7 @@
 #include "coordination/upstreamscheduler.h"
 
-#include "coordination/loadorder.h"
-#include "coordination/residency.h"
+#include "coordination/engineslots.h"
+#include "coordination/loadqueue.h"
 #include "coordination/workqueue.h"
 
 #include <absl/container/flat_hash_map.h>
--- a/main/completionjob.h
+++ b/main/completionjob.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "coordination/work.h"
+#include "coordination/workitem.h"
 #include "transport/httpserver.h"
 
 #include <memory>
--- a/main/entry/beliefs.h
+++ b/main/entry/clusterstate.h
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "coordination/adapterloads.h"
-#include "coordination/enginerows.h"
-#include "coordination/outliers.h"
-#include "coordination/upstreambook.h"
+#include "coordination/adapterloadestimator.h"
+#include "coordination/outlierdetector.h"
+#include "coordination/residencytable.h"
 #include "coordination/upstreamdirectory.h"
+#include "coordination/upstreamloadtracker.h"
 #include "core/clock.h"
 #include "state/routetable.h"
 
--- a/main/entry/entrynode.cpp
+++ b/main/entry/entrynode.cpp
@@ -1,7 +1,7 @@
 #include "main/entry/entrynode.h"
 
-#include "coordination/storeturns.h"
-#include "main/entry/beliefs.h"
+#include "coordination/storereaderelection.h"
+#include "main/entry/clusterstate.h"
 #include "main/entry/entrymetrics.h"
 #include "main/entry/eventlog.h"
 #include "main/entry/fleetlink.h"
--- a/main/entry/fleetlink.h
+++ b/main/entry/fleetlink.h
@@ -4,7 +4,7 @@
 #include "coordination/fleetscope.h"
 #include "coordination/orderlease.h"
 #include "coordination/shardmap.h"
-#include "main/entry/beliefs.h"
+#include "main/entry/clusterstate.h"
 #include "main/entry/eventlog.h"
 #include "transport/ioloop.h"
 
--- a/main/entry/orderrunner.h
+++ b/main/entry/orderrunner.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "coordination/adapterplan.h"
-#include "main/entry/beliefs.h"
+#include "main/entry/clusterstate.h"
 #include "main/entry/entrymetrics.h"
 #include "main/entry/eventlog.h"
 #include "main/entry/fleetlink.h"
--- a/main/entry/requestforwarder.h
+++ b/main/entry/requestforwarder.h
@@ -2,7 +2,7 @@
 
 #include "coordination/fleetmessage.h"
 #include "core/errors.h"
-#include "main/entry/beliefs.h"
+#include "main/entry/clusterstate.h"
 #include "main/entry/entrymetrics.h"
 #include "main/entry/eventlog.h"
 #include "transport/ioloop.h"
--- a/main/entry/storecaller.h
+++ b/main/entry/storecaller.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "coordination/storecalls.h"
+#include "coordination/storecallscheduler.h"
 #include "core/result.h"
 #include "transport/ioloop.h"
 
--- a/main/entry/storereader.h
+++ b/main/entry/storereader.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "main/entry/beliefs.h"
+#include "main/entry/clusterstate.h"
 #include "main/entry/eventlog.h"
 #include "platform/store.h"
 #include "transport/ioloop.h"
--- a/main/forwarder.h
+++ b/main/forwarder.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "coordination/work.h"
+#include "coordination/workitem.h"
 #include "main/metrics.h"
 #include "state/fleetview.h"
 #include "transport/peers.h"
--- a/main/upstreamhealth.h
+++ b/main/upstreamhealth.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "coordination/attempt.h"
-#include "coordination/outliers.h"
+#include "coordination/outlierdetector.h"
 #include "core/clock.h"
 #include "core/strongid.h"
 #include "main/metrics.h"
--- a/main/valuedirectory.cpp
+++ b/main/valuedirectory.cpp
@@ -1,6 +1,6 @@
 #include "main/valuedirectory.h"
 
-#include "coordination/configjob.h"
+#include "coordination/configassembler.h"
 #include "protocol/configvalues.h"
 
 #include <filesystem>
--- a/tests/coordination/testadapterloads.cpp
+++ b/tests/coordination/testadapterloadestimator.cpp
@@ -1,4 +1,4 @@
-#include "tests/coordination/weightstorebench.h"
+#include "tests/coordination/weightstoresimulation.h"
 
 #include <cmath>
 
--- a/tests/coordination/testadapterplan.cpp
+++ b/tests/coordination/testadapterplan.cpp
@@ -1,6 +1,6 @@
 #include "coordination/adapterplan.h"
 
-#include "tests/coordination/weightstorebench.h"
+#include "tests/coordination/weightstoresimulation.h"
 
 #include <algorithm>
 #include <string>
--- a/tests/coordination/testconfigsync.cpp
+++ b/tests/coordination/testconfigsync.cpp
@@ -1,4 +1,4 @@
-#include "tests/coordination/configworld.h"
+#include "tests/coordination/configtestcluster.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/coordination/testresidency.cpp
+++ b/tests/coordination/testengineslots.cpp
@@ -1,4 +1,4 @@
-#include "coordination/residency.h"
+#include "coordination/engineslots.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/coordination/testloadorder.cpp
+++ b/tests/coordination/testloadqueue.cpp
@@ -1,4 +1,4 @@
-#include "coordination/loadorder.h"
+#include "coordination/loadqueue.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/coordination/testwantorder.cpp
+++ b/tests/coordination/testpendingadapterorder.cpp
@@ -1,5 +1,5 @@
-#include "coordination/wantorder.h"
-#include "tests/coordination/weightstorebench.h"
+#include "coordination/pendingadapterorder.h"
+#include "tests/coordination/weightstoresimulation.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/coordination/teststoreturns.cpp
+++ b/tests/coordination/teststorereaderelection.cpp
@@ -1,4 +1,4 @@
-#include "coordination/storeturns.h"
+#include "coordination/storereaderelection.h"
 
 #include <string>
 #include <vector>
--- a/tests/coordination/testupstreamtrouble.cpp
+++ b/tests/coordination/testupstreamtrouble.cpp
@@ -1,6 +1,6 @@
 #include "coordination/attempt.h"
 #include "coordination/concurrencylimit.h"
-#include "coordination/outliers.h"
+#include "coordination/outlierdetector.h"
 #include "coordination/retrybudget.h"
 
 #include <criterion/criterion.h>
