--- a/coordination/configassembler.cpp
+++ b/coordination/configassembler.cpp
@@ -9,7 +9,7 @@
 // A node that was away for longer takes the base: at 300 B a change this many weigh less than a tenth of one page.
 constexpr std::size_t MaxChangesBehind = 256;
 // Ends a walk through a history that never meets its base.
-constexpr std::size_t MaxChain = 4096;
+constexpr std::size_t MaxChainLength = 4096;
 
 } // namespace
 
@@ -31,8 +31,8 @@
     if (m_isBaseOnly) {
         return readBase();
     }
-    const ConfigVersion reached = m_chain.empty() ? m_head.version : m_chain.back().change.from;
-    const std::string &wanted = m_chain.empty() ? m_head.deltaHash : m_chain.back().previous;
+    const ConfigVersion reached = m_deltas.empty() ? m_head.version : m_deltas.back().change.from;
+    const std::string &wanted = m_deltas.empty() ? m_head.deltaHash : m_deltas.back().previous;
     if (!m_isFromBase && reached == m_current->version()) {
         if (m_currentDelta.empty() || wanted == m_currentDelta) {
             return build(m_current);
@@ -41,11 +41,11 @@
     } else if (!m_isFromBase && reached < m_current->version()) {
         m_isForked = true;
     }
-    m_isFromBase = m_isFromBase || m_isForked || m_chain.size() >= MaxChangesBehind || wanted.empty();
+    m_isFromBase = m_isFromBase || m_isForked || m_deltas.size() >= MaxChangesBehind || wanted.empty();
     if (m_isFromBase && reached <= m_head.baseVersion) {
         return readBase();
     }
-    if (wanted.empty() || m_chain.size() >= MaxChain) {
+    if (wanted.empty() || m_deltas.size() >= MaxChainLength) {
         return failed("the changes from the base " + std::to_string(m_head.baseVersion.value()) + " on are not complete");
     }
     return MissingValue { ConfigValueKind::Delta, wanted };
@@ -80,7 +80,7 @@
 AssemblyResult ConfigAssembler::build(std::shared_ptr<const Catalog> start) const
 {
     std::shared_ptr<const Catalog> base = start->version() == m_head.baseVersion ? start : nullptr;
-    for (auto delta = m_chain.rbegin(); delta != m_chain.rend() && !m_isBaseOnly; ++delta) {
+    for (auto delta = m_deltas.rbegin(); delta != m_deltas.rend() && !m_isBaseOnly; ++delta) {
         if (delta->change.version <= start->version()) {
             continue; // A change that the base holds already.
         }
@@ -106,14 +106,14 @@
 {
     std::visit(Overloaded {
                    [](ConfigHead &) {},
-                   [this](ConfigDelta &delta) { m_chain.push_back(std::move(delta)); },
+                   [this](ConfigDelta &delta) { m_deltas.push_back(std::move(delta)); },
                    [this](ConfigBase &base) { m_base = std::move(base); },
                    [this](ConfigPage &page) { m_pages.push_back(std::move(page)); },
                },
         value);
 }
 
-bool ConfigAssembler::skipChanges()
+bool ConfigAssembler::fallBackToBase()
 {
     if (m_isBaseOnly || (m_current != nullptr && m_head.baseVersion <= m_current->version())) {
         return false;
--- a/coordination/configassembler.h
+++ b/coordination/configassembler.h
@@ -46,7 +46,7 @@
     /** The value that next() asked for. */
     void addValue(ConfigValue value);
     /** The change that next() asked for is nowhere to be had: goes for the base alone. False when that would not lead forward. */
-    bool skipChanges();
+    bool fallBackToBase();
 
 private:
     std::variant<MissingValue, AssemblyResult> readBase();
@@ -57,7 +57,7 @@
     std::shared_ptr<const Catalog> m_current;
     std::string m_currentDelta;
     // Newest first.
-    std::vector<ConfigDelta> m_chain;
+    std::vector<ConfigDelta> m_deltas;
     std::optional<ConfigBase> m_base;
     std::vector<ConfigPage> m_pages;
     bool m_isFromBase = false;
--- a/coordination/configsync.cpp
+++ b/coordination/configsync.cpp
@@ -14,13 +14,13 @@
 namespace
 {
 
-constexpr std::size_t PeersAskedAtStart = 5;
+constexpr std::size_t MaxStartQueries = 5;
 // The source that named a version, another peer, the service, and once more around before a value counts as nowhere to be had.
 constexpr int MaxAttempts = 6;
 constexpr Duration ReadTimeout { 2000 };
 constexpr Duration WatchSlack { 1000 };
 // A watch that ends without news this much before its time was not waited for.
-constexpr Duration EarlyAnswer { 500 };
+constexpr Duration EarlyReplyMargin { 500 };
 constexpr int MaxDoublings = 16;
 constexpr std::string_view WatchKey = "config-watch";
 // The three nodes that the rumours name would each send a change to a third of the fleet: 120 KB at 400 nodes, for the one node that
@@ -44,7 +44,7 @@
 };
 
 // A head that waits: for the peers at a start, or for the rumours after a poll.
-struct HeldHead
+struct DeferredHead
 {
     ConfigHead head;
     Source source;
@@ -87,23 +87,23 @@
     FetchId lastFetch = 0;
 
     std::shared_ptr<const Catalog> catalog;
-    ConfigHead inForce;
+    ConfigHead activeHead;
     std::string refusedHash;
     std::string conflictHash;
-    std::string unreadable;
+    std::string unreadableDetail;
 
     std::vector<NodeView> others;
     std::size_t nodeCount = 1;
-    bool isChosen = false;
-    Time volunteerUntil;
-    absl::flat_hash_map<NodeId, ConfigVersion> heard;
+    bool isElectedWatcher = false;
+    Time substituteWatchUntil;
+    absl::flat_hash_map<NodeId, ConfigVersion> announcedVersions;
 
     std::optional<Time> started;
-    bool isSettled = false;
-    bool hasView = false;
+    bool hasFinishedStart = false;
+    bool hasPeerList = false;
     bool hasPeerAnswered = false;
-    absl::flat_hash_map<FetchId, NodeId> askedAtStart;
-    std::vector<NodeId> asked;
+    absl::flat_hash_map<FetchId, NodeId> openStartQueries;
+    std::vector<NodeId> queriedAtStart;
 
     std::optional<FetchId> serviceRead;
     bool isServiceReadWatch = false;
@@ -119,7 +119,7 @@
     Time nextPeerRead;
     int peerFailures = 0;
 
-    std::optional<HeldHead> held;
+    std::optional<DeferredHead> deferredHead;
     std::optional<Adoption> adoption;
 
     ConfigVersion version() const
@@ -128,42 +128,42 @@
     }
     bool watches() const
     {
-        return isChosen || now < volunteerUntil;
+        return isElectedWatcher || now < substituteWatchUntil;
     }
-    Duration scattered(Duration span);
+    Duration jittered(Duration span);
     Duration backoff(int failures);
     void report(ConfigProblem problem, ConfigVersion ofVersion, std::string detail);
     FetchId fetch(const Source &source, ConfigValueKind kind, const std::string &hash, Duration wait);
 
-    void takePeers(const std::vector<NodeView> &nodes);
-    void takeRumour(const ConfigFact &fact);
-    void takeValue(const ValueFetched &fetched);
-    void takeServiceHead(const Result<ConfigValue> &value);
-    Duration pauseAfterRead(bool isNew);
-    void takeStartAnswer(const Result<ConfigValue> &value, const NodeId &from);
-    void takePeerHead(const Result<ConfigValue> &value);
-    void takeAdopted(const Result<ConfigValue> &value);
+    void onPeersChanged(const std::vector<NodeView> &nodes);
+    void onVersionAnnounced(const ConfigFact &fact);
+    void onValueFetched(const ValueFetched &fetched);
+    void onServiceHead(const Result<ConfigValue> &value);
+    Duration delayAfterServiceRead(bool isNew);
+    void onStartReply(const Result<ConfigValue> &value, const NodeId &from);
+    void onPeerHead(const Result<ConfigValue> &value);
+    void onAdoptionValue(const Result<ConfigValue> &value);
 
     void tick();
-    void askAtStart();
-    void settle();
+    void queryPeersAtStart();
+    void finishStart();
     void readService();
     void readPeer();
-    void enterTree(ConfigVersion ofVersion);
-    bool isTreeRetried(const Result<ConfigValue> &value);
-    void releaseHeld();
+    void joinFetchTree(ConfigVersion ofVersion);
+    bool scheduleTreeRetry(const Result<ConfigValue> &value);
+    void adoptDeferredHead();
 
-    bool isNews(const ConfigHead &head);
-    void hold(const ConfigHead &head, const Source &source, Time until);
+    bool isAcceptable(const ConfigHead &head);
+    void deferHead(const ConfigHead &head, const Source &source, Time until);
     void adopt(const ConfigHead &head, const Source &source);
     void stepAdoption();
     void fetchWanted();
     Source nextSource();
-    void giveUpValue();
+    void abandonValue();
     void finish(const AssemblyResult &result);
 };
 
-Duration ConfigSync::Private::scattered(Duration span)
+Duration ConfigSync::Private::jittered(Duration span)
 {
     const std::int64_t half = std::max<std::int64_t>(span.milliseconds() / 2, 1);
     return Duration(half + static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(2 * half)));
@@ -171,8 +171,8 @@
 
 Duration ConfigSync::Private::backoff(int failures)
 {
-    const std::int64_t doubled = settings.firstBackoff.milliseconds() << std::min(failures, MaxDoublings);
-    return scattered(std::min(Duration(doubled), settings.lastBackoff));
+    const std::int64_t doubled = settings.initialBackoff.milliseconds() << std::min(failures, MaxDoublings);
+    return jittered(std::min(Duration(doubled), settings.maxBackoff));
 }
 
 void ConfigSync::Private::report(ConfigProblem problem, ConfigVersion ofVersion, std::string detail)
@@ -187,12 +187,12 @@
     return lastFetch;
 }
 
-void ConfigSync::Private::takePeers(const std::vector<NodeView> &nodes)
+void ConfigSync::Private::onPeersChanged(const std::vector<NodeView> &nodes)
 {
-    hasView = true;
+    hasPeerList = true;
     nodeCount = std::max<std::size_t>(nodes.size(), 1);
     others.clear();
-    int better = 0;
+    int higherRanked = 0;
     const double own = rendezvousScore(WatchKey, settings.self.value(), 1);
     for (const NodeView &node : nodes) {
         if (node.id == settings.self) {
@@ -200,120 +200,120 @@
         }
         others.push_back(node);
         if (node.zone == settings.zone && rendezvousScore(WatchKey, node.id.value(), 1) > own) {
-            ++better;
+            ++higherRanked;
         }
     }
-    const bool wasChosen = isChosen;
-    isChosen = better < settings.watchersPerZone;
-    if (isChosen && !wasChosen) {
+    const bool wasElectedWatcher = isElectedWatcher;
+    isElectedWatcher = higherRanked < settings.watchersPerZone;
+    if (isElectedWatcher && !wasElectedWatcher) {
         nextServiceRead = now; // Takes over from a watcher that is gone without waiting for the next poll.
     }
-    absl::erase_if(heard, [&](const auto &entry) {
+    absl::erase_if(announcedVersions, [&](const auto &entry) {
         return std::none_of(others.begin(), others.end(), [&](const NodeView &node) { return node.id == entry.first; });
     });
 }
 
-void ConfigSync::Private::takeRumour(const ConfigFact &fact)
+void ConfigSync::Private::onVersionAnnounced(const ConfigFact &fact)
 {
     if (fact.node == settings.self || fact.version <= version()) {
         return;
     }
-    ConfigVersion &known = heard[fact.node];
+    ConfigVersion &known = announcedVersions[fact.node];
     if (fact.version > known) {
         known = fact.version;
     }
 }
 
-void ConfigSync::Private::takeValue(const ValueFetched &fetched)
+void ConfigSync::Private::onValueFetched(const ValueFetched &fetched)
 {
     if (serviceRead == fetched.id) {
         serviceRead.reset();
-        takeServiceHead(fetched.value);
+        onServiceHead(fetched.value);
     } else if (peerRead == fetched.id) {
         peerRead.reset();
-        takePeerHead(fetched.value);
-    } else if (const auto at = askedAtStart.find(fetched.id); at != askedAtStart.end()) {
+        onPeerHead(fetched.value);
+    } else if (const auto at = openStartQueries.find(fetched.id); at != openStartQueries.end()) {
         const NodeId from = at->second;
-        askedAtStart.erase(at);
-        takeStartAnswer(fetched.value, from);
+        openStartQueries.erase(at);
+        onStartReply(fetched.value, from);
     } else if (adoption && adoption->fetch == fetched.id) {
         adoption->fetch.reset();
-        takeAdopted(fetched.value);
+        onAdoptionValue(fetched.value);
     }
 }
 
-void ConfigSync::Private::takeServiceHead(const Result<ConfigValue> &value)
+void ConfigSync::Private::onServiceHead(const Result<ConfigValue> &value)
 {
     const auto *head = value.isOk() ? std::get_if<ConfigHead>(&value.value()) : nullptr;
     if (head == nullptr) {
-        if (!value.isOk() && value.error().kind == ErrorKind::ConfigInvalid && unreadable != value.error().detail) {
-            unreadable = value.error().detail; // Reported once, not at each read.
+        if (!value.isOk() && value.error().kind == ErrorKind::ConfigInvalid && unreadableDetail != value.error().detail) {
+            unreadableDetail = value.error().detail; // Reported once, not at each read.
             report(ConfigProblem::Refused, {}, value.error().detail);
         }
         nextServiceRead = now + backoff(serviceFailures++);
         return;
     }
     serviceFailures = 0;
-    const bool isNew = isNews(*head);
-    nextServiceRead = now + pauseAfterRead(isNew);
+    const bool isNew = isAcceptable(*head);
+    nextServiceRead = now + delayAfterServiceRead(isNew);
     if (head->version < version()) {
         report(ConfigProblem::Stale, head->version, "the service handed out an old version");
     }
     if (!isNew) {
         return;
     }
-    if (!isSettled) {
-        hold(*head, {}, Time::never());
+    if (!hasFinishedStart) {
+        deferHead(*head, {}, Time::never());
     } else if (watches() || catalog == nullptr || others.empty()) {
         adopt(*head, {});
     } else {
-        hold(*head, {}, now + settings.rumourGrace);
+        deferHead(*head, {}, now + settings.gossipGracePeriod);
     }
 }
 
 // A stale replica, or one that hands out a refused version, answers each watch at once: without a pause its readers would spend the
 // service's whole rate on it.
-Duration ConfigSync::Private::pauseAfterRead(bool isNew)
+Duration ConfigSync::Private::delayAfterServiceRead(bool isNew)
 {
-    if (isServiceReadWatch && (isNew || now - serviceReadStarted >= settings.watch - EarlyAnswer)) {
+    if (isServiceReadWatch && (isNew || now - serviceReadStarted >= settings.watch - EarlyReplyMargin)) {
         return Duration(0);
     }
     if (watches() || catalog == nullptr) {
-        return scattered(settings.minPoll);
+        return jittered(settings.minPoll);
     }
-    return scattered(std::clamp(settings.pollPerNode * static_cast<std::int64_t>(nodeCount), settings.minPoll, settings.maxPoll));
+    return jittered(std::clamp(settings.pollPerNode * static_cast<std::int64_t>(nodeCount), settings.minPoll, settings.maxPoll));
 }
 
-void ConfigSync::Private::takeStartAnswer(const Result<ConfigValue> &value, const NodeId &from)
+void ConfigSync::Private::onStartReply(const Result<ConfigValue> &value, const NodeId &from)
 {
     const auto *head = value.isOk() ? std::get_if<ConfigHead>(&value.value()) : nullptr;
     hasPeerAnswered = hasPeerAnswered || value.isOk() || value.error().kind == ErrorKind::NotFound;
     if (head != nullptr) {
-        hold(*head, from, Time::never());
+        deferHead(*head, from, Time::never());
     }
 }
 
-void ConfigSync::Private::takePeerHead(const Result<ConfigValue> &value)
+void ConfigSync::Private::onPeerHead(const Result<ConfigValue> &value)
 {
     const auto *head = value.isOk() ? std::get_if<ConfigHead>(&value.value()) : nullptr;
     if (head == nullptr || head->version <= version()) {
-        if (isTreeRetried(value)) {
+        if (scheduleTreeRetry(value)) {
             return;
         }
-        heard.erase(peerReadFrom); // What it told no longer holds; the next rumour or poll brings the version again.
+        announcedVersions.erase(peerReadFrom); // What it told no longer holds; the next rumour or poll brings the version again.
         nextPeerRead = now + backoff(peerFailures++);
         return;
     }
     peerFailures = 0;
-    if (isNews(*head)) {
+    if (isAcceptable(*head)) {
         adopt(*head, peerReadFrom);
     } else {
-        heard.erase(peerReadFrom);
+        announcedVersions.erase(peerReadFrom);
     }
 }
 
 // A parent that has not got the version yet is asked again; a node that it cannot have from its parent goes to a holder.
-bool ConfigSync::Private::isTreeRetried(const Result<ConfigValue> &value)
+bool ConfigSync::Private::scheduleTreeRetry(const Result<ConfigValue> &value)
 {
     if (treeParent != peerReadFrom) {
         return false;
@@ -322,15 +322,15 @@
     if (!isReached || ++treeAttempts >= TreeAttempts) {
         treeParent.reset();
     }
-    nextPeerRead = treeParent ? now + scattered(TreeRetryWait) : now;
+    nextPeerRead = treeParent ? now + jittered(TreeRetryWait) : now;
     return true;
 }
 
 // Two operators who publish at the same time both go up from the same version. Whichever reached this node first is in force, and a
 // second one of that version would change what requests resolve to without a new version.
-bool ConfigSync::Private::isNews(const ConfigHead &head)
+bool ConfigSync::Private::isAcceptable(const ConfigHead &head)
 {
-    if (catalog != nullptr && head.version == version() && !inForce.hash.empty() && head.hash != inForce.hash
+    if (catalog != nullptr && head.version == version() && !activeHead.hash.empty() && head.hash != activeHead.hash
         && head.hash != conflictHash) {
         conflictHash = head.hash;
         report(ConfigProblem::Conflict, head.version, "a second, different head of the version in force; publish a new version");
@@ -338,16 +338,17 @@
     return head.version > version() && head.hash != refusedHash;
 }
 
-void ConfigSync::Private::hold(const ConfigHead &head, const Source &source, Time until)
+void ConfigSync::Private::deferHead(const ConfigHead &head, const Source &source, Time until)
 {
-    if (held && held->head.version == head.version && held->head.hash != head.hash && conflictHash != head.hash) {
+    if (deferredHead && deferredHead->head.version == head.version && deferredHead->head.hash != head.hash && conflictHash != head.hash) {
         conflictHash = head.hash;
         report(ConfigProblem::Conflict, head.version, "the service and a node have different heads of one version; publish a new version");
     }
     // Of equal ones a node's is kept: it is in force somewhere.
-    const bool isBetter = !held || held->head.version < head.version || (held->head.version == head.version && source && !held->source);
+    const bool isBetter = !deferredHead || deferredHead->head.version < head.version
+        || (deferredHead->head.version == head.version && source && !deferredHead->source);
     if (isBetter) {
-        held = HeldHead { head, source, held ? std::min(held->until, until) : until };
+        deferredHead = DeferredHead { head, source, deferredHead ? std::min(deferredHead->until, until) : until };
     }
 }
 
@@ -356,7 +357,7 @@
     if (adoption && adoption->assembler.head().version >= head.version) {
         return;
     }
-    adoption.emplace(Adoption { ConfigAssembler(head, catalog, inForce.deltaHash), source, {}, 0, {}, now });
+    adoption.emplace(Adoption { ConfigAssembler(head, catalog, activeHead.deltaHash), source, {}, 0, {}, now });
     stepAdoption();
 }
 
@@ -383,17 +384,17 @@
     if (others.empty() || adoption->source) {
         return {};
     }
-    std::vector<const NodeView *> good;
+    std::vector<const NodeView *> upToDate;
     for (const NodeView &node : others) {
-        const auto at = heard.find(node.id);
-        if (at != heard.end() && at->second >= adoption->assembler.head().version) {
-            good.push_back(&node);
+        const auto at = announcedVersions.find(node.id);
+        if (at != announcedVersions.end() && at->second >= adoption->assembler.head().version) {
+            upToDate.push_back(&node);
         }
     }
-    return good.empty() ? others[random() % others.size()].id : good[random() % good.size()]->id;
+    return upToDate.empty() ? others[random() % others.size()].id : upToDate[random() % upToDate.size()]->id;
 }
 
-void ConfigSync::Private::takeAdopted(const Result<ConfigValue> &value)
+void ConfigSync::Private::onAdoptionValue(const Result<ConfigValue> &value)
 {
     if (value.isOk()) {
         adoption->assembler.addValue(value.value());
@@ -408,7 +409,7 @@
         report(ConfigProblem::Corrupted, adoption->assembler.head().version, value.error().detail);
     }
     if (++adoption->attempts >= MaxAttempts) {
-        giveUpValue();
+        abandonValue();
         return;
     }
     adoption->source = nextSource();
@@ -416,18 +417,18 @@
     adoption->notBefore = adoption->attempts == 1 ? now : now + backoff(adoption->attempts - 2);
 }
 
-void ConfigSync::Private::giveUpValue()
+void ConfigSync::Private::abandonValue()
 {
     const ConfigVersion wanted = adoption->assembler.head().version;
-    if (adoption->wanted.kind == ConfigValueKind::Delta && adoption->assembler.skipChanges()) {
+    if (adoption->wanted.kind == ConfigValueKind::Delta && adoption->assembler.fallBackToBase()) {
         report(ConfigProblem::Gap, wanted, "a change is nowhere to be had; going for the base alone");
         stepAdoption();
         return;
     }
     report(ConfigProblem::Gap, wanted, "a value is nowhere to be had; trying again later");
     adoption.reset();
-    heard.clear();
-    nextServiceRead = std::max(nextServiceRead, now + scattered(settings.minPoll));
+    announcedVersions.clear();
+    nextServiceRead = std::max(nextServiceRead, now + jittered(settings.minPoll));
 }
 
 void ConfigSync::Private::finish(const AssemblyResult &result)
@@ -436,7 +437,7 @@
     adoption.reset();
     if (!result.catalog.isOk()) {
         refusedHash = head.hash;
-        heard.clear();
+        announcedVersions.clear();
         report(ConfigProblem::Refused, head.version, result.catalog.error().detail);
         return;
     }
@@ -449,10 +450,10 @@
         head.hash.clear();
     }
     catalog = result.catalog.value();
-    inForce = head;
-    absl::erase_if(heard, [&](const auto &entry) { return entry.second <= version(); });
-    if (held && held->head.version <= version()) {
-        held.reset();
+    activeHead = head;
+    absl::erase_if(announcedVersions, [&](const auto &entry) { return entry.second <= version(); });
+    if (deferredHead && deferredHead->head.version <= version()) {
+        deferredHead.reset();
     }
     if (watches()) {
         nextServiceRead = now;
@@ -460,65 +461,65 @@
     actions.emplace_back(ActivateConfig { catalog, head, result.base });
 }
 
-void ConfigSync::Private::askAtStart()
+void ConfigSync::Private::queryPeersAtStart()
 {
     std::vector<NodeId> candidates;
     for (const NodeView &node : others) {
-        if (std::find(asked.begin(), asked.end(), node.id) == asked.end()) {
+        if (std::find(queriedAtStart.begin(), queriedAtStart.end(), node.id) == queriedAtStart.end()) {
             candidates.push_back(node.id);
         }
     }
     std::shuffle(candidates.begin(), candidates.end(), random);
     // A node that told of a version is asked first.
-    std::stable_sort(
-        candidates.begin(), candidates.end(), [&](const NodeId &a, const NodeId &b) { return heard.contains(a) && !heard.contains(b); });
+    std::stable_sort(candidates.begin(), candidates.end(),
+        [&](const NodeId &a, const NodeId &b) { return announcedVersions.contains(a) && !announcedVersions.contains(b); });
     for (const NodeId &id : candidates) {
-        if (askedAtStart.size() >= PeersAskedAtStart || (hasPeerAnswered && asked.size() >= PeersAskedAtStart)) {
+        if (openStartQueries.size() >= MaxStartQueries || (hasPeerAnswered && queriedAtStart.size() >= MaxStartQueries)) {
             return;
         }
-        asked.push_back(id);
-        askedAtStart[fetch(id, ConfigValueKind::Head, {}, Duration(0))] = id;
+        queriedAtStart.push_back(id);
+        openStartQueries[fetch(id, ConfigValueKind::Head, {}, Duration(0))] = id;
     }
 }
 
 // A service that went back to an old copy looks like any other to a node that knows nothing, and a fleet that restarts behind it would
 // undo accepted changes. The peers know better, so a node is not ready before it has asked them; the wait is bounded, since a node that
 // nobody answers must start too.
-void ConfigSync::Private::settle()
+void ConfigSync::Private::finishStart()
 {
-    if (isSettled) {
+    if (hasFinishedStart) {
         return;
     }
     if (!started) {
         started = now;
     }
-    const bool isLate = now - *started >= settings.startWait;
-    if (hasView && !isLate) {
-        askAtStart();
-        const bool isAnswered = hasPeerAnswered && askedAtStart.empty();
+    const bool hasTimedOut = now - *started >= settings.startTimeout;
+    if (hasPeerList && !hasTimedOut) {
+        queryPeersAtStart();
+        const bool isAnswered = hasPeerAnswered && openStartQueries.empty();
         if (!others.empty() && !isAnswered) {
             return;
         }
-    } else if (!isLate) {
+    } else if (!hasTimedOut) {
         return;
     }
-    isSettled = true;
-    releaseHeld();
+    hasFinishedStart = true;
+    adoptDeferredHead();
 }
 
-void ConfigSync::Private::releaseHeld()
+void ConfigSync::Private::adoptDeferredHead()
 {
-    if (!held || !isSettled || (catalog != nullptr && now < held->until)) {
+    if (!deferredHead || !hasFinishedStart || (catalog != nullptr && now < deferredHead->until)) {
         return;
     }
-    const HeldHead due = *held;
-    held.reset();
-    if (due.head.version <= version() || adoption || !isNews(due.head)) {
+    const DeferredHead due = *deferredHead;
+    deferredHead.reset();
+    if (due.head.version <= version() || adoption || !isAcceptable(due.head)) {
         return;
     }
     if (catalog != nullptr) {
         // The rumours did not bring what the service has: those who watch it cannot reach it, and this node can.
-        volunteerUntil = now + settings.volunteerTerm;
+        substituteWatchUntil = now + settings.substituteWatchDuration;
     }
     adopt(due.head, due.source);
 }
@@ -529,12 +530,12 @@
     if (serviceRead || adoption || now < nextServiceRead) {
         return;
     }
-    isServiceReadWatch = catalog != nullptr && isSettled && watches();
+    isServiceReadWatch = catalog != nullptr && hasFinishedStart && watches();
     serviceReadStarted = now;
     serviceRead = fetch({}, ConfigValueKind::Head, {}, isServiceReadWatch ? settings.watch : Duration(0));
 }
 
-void ConfigSync::Private::enterTree(ConfigVersion ofVersion)
+void ConfigSync::Private::joinFetchTree(ConfigVersion ofVersion)
 {
     treeVersion = ofVersion;
     treeParent.reset();
@@ -563,25 +564,25 @@
 
 void ConfigSync::Private::readPeer()
 {
-    if (peerRead || adoption || !isSettled || heard.empty()) {
+    if (peerRead || adoption || !hasFinishedStart || announcedVersions.empty()) {
         return;
     }
     ConfigVersion newest;
-    for (const auto &[node, known] : heard) {
+    for (const auto &[node, known] : announcedVersions) {
         newest = std::max(newest, known);
     }
     if (newest <= version()) {
-        heard.clear();
+        announcedVersions.clear();
         return;
     }
     if (treeVersion != newest) {
-        enterTree(newest);
+        joinFetchTree(newest);
     }
     if (now < nextPeerRead) {
         return;
     }
     std::vector<NodeId> holders;
-    for (const auto &[node, known] : heard) {
+    for (const auto &[node, known] : announcedVersions) {
         if (known == newest) {
             holders.push_back(node);
         }
@@ -593,8 +594,8 @@
 
 void ConfigSync::Private::tick()
 {
-    settle();
-    releaseHeld();
+    finishStart();
+    adoptDeferredHead();
     if (adoption && !adoption->fetch && now >= adoption->notBefore) {
         fetchWanted();
     }
@@ -613,9 +614,9 @@
 {
     d->now = now;
     std::visit(Overloaded {
-                   [this](const PeersChanged &peers) { d->takePeers(peers.nodes); },
-                   [this](const VersionAnnounced &rumour) { d->takeRumour(rumour.fact); },
-                   [this](const ValueFetched &fetched) { d->takeValue(fetched); },
+                   [this](const PeersChanged &peers) { d->onPeersChanged(peers.nodes); },
+                   [this](const VersionAnnounced &rumour) { d->onVersionAnnounced(rumour.fact); },
+                   [this](const ValueFetched &fetched) { d->onValueFetched(fetched); },
                    [](const ConfigTick &) {},
                },
         event);
--- a/coordination/configsync.h
+++ b/coordination/configsync.h
@@ -30,18 +30,18 @@
     /** How long one watch waits. A watch whose answer is lost keeps its node deaf for this and the slack, so both leave room in the 5 s. */
     Duration watch { 1500 };
     /** Longest wait of a starting node for its peers' versions: more than a lost message and its repeat, less than a start may take. */
-    Duration startWait = Duration::seconds(5);
+    Duration startTimeout = Duration::seconds(5);
     /** A node that does not watch reads the head this often times the number of nodes, so that all together read 50 times a second. */
     Duration pollPerNode = Duration(20);
     Duration minPoll = Duration::seconds(2);
     Duration maxPoll = Duration::seconds(60);
     /** A version found by polling is left to the rumours for this long: they take 1.6 s at most at 400 nodes. */
-    Duration rumourGrace = Duration::seconds(2);
+    Duration gossipGracePeriod = Duration::seconds(2);
     /** How long a node whose poll beat the rumours watches the service in place of watchers that cannot reach it. */
-    Duration volunteerTerm = Duration::seconds(300);
+    Duration substituteWatchDuration = Duration::seconds(300);
     /** Waits after failures: doubled from the first to the last, and scattered by half so that nodes do not come back together. */
-    Duration firstBackoff = Duration(100);
-    Duration lastBackoff { 1000 };
+    Duration initialBackoff = Duration(100);
+    Duration maxBackoff { 1000 };
     std::uint64_t seed = 1;
 };
 
--- a/tests/coordination/configtestcluster.h
+++ b/tests/coordination/configtestcluster.h
@@ -33,7 +33,7 @@
         std::unique_ptr<ConfigSync> sync;
         ConfigHead head;
         std::map<std::string, ConfigValue> values;
-        std::map<ConfigVersion, Time> inForceAt;
+        std::map<ConfigVersion, Time> activeAt;
         std::vector<ConfigFact> holders;
         int sendsLeft = 0;
         std::vector<ReportConfigProblem> troubles;
@@ -64,7 +64,7 @@
     std::vector<std::unique_ptr<Node>> nodes;
     Time now { 1000 };
     double loss = 0.01;
-    Duration startWait = Duration::seconds(5);
+    Duration startTimeout = Duration::seconds(5);
     /** How long a peer takes to answer. */
     Duration peerTime { 2 };
 
@@ -126,23 +126,23 @@
     }
 
     /** What is asked of the service from now on, and what waits there, is never answered: it ends when the node gives it up. */
-    void fallSilent()
+    void stopResponding()
     {
-        m_isSilent = true;
+        m_isUnresponsive = true;
         for (const auto &watch : std::exchange(m_watches, {})) {
-            const Time givenUp = watch.begunAt + watch.fetch.timeout;
-            reply(*watch.node, watch.life, givenUp - now, watch.fetch.id, Error { ErrorKind::UpstreamTimeout, {} });
+            const Time givenUp = watch.startedAt + watch.fetch.timeout;
+            reply(*watch.node, watch.incarnation, givenUp - now, watch.fetch.id, Error { ErrorKind::UpstreamTimeout, {} });
         }
     }
-    void answerAgain()
+    void resumeResponding()
     {
-        m_isSilent = false;
+        m_isUnresponsive = false;
     }
 
     void kill(Node &node)
     {
         node.isAlive = false;
-        after(Duration::seconds(4), [this] { tellPeers(); }); // As long as the membership takes to be sure.
+        after(Duration::seconds(4), [this] { announcePeers(); }); // As long as the membership takes to be sure.
     }
 
     /** A new process: it knows nothing. */
@@ -151,18 +151,18 @@
         ConfigSyncSettings settings;
         settings.self = node.id;
         settings.zone = node.zone;
-        settings.startWait = startWait;
+        settings.startTimeout = startTimeout;
         settings.seed = m_random();
         node.sync = std::make_unique<ConfigSync>(settings);
         node.isAlive = true;
         node.head = {};
         node.values.clear();
         node.holders.clear();
-        const std::uint64_t life = ++m_life[node.id];
-        after(Duration(static_cast<std::int64_t>(m_random() % 50)), [this, &node, life] {
-            tellPeers();
-            tick(node, life);
-            gossip(node, life);
+        const std::uint64_t incarnation = ++m_incarnations[node.id];
+        after(Duration(static_cast<std::int64_t>(m_random() % 50)), [this, &node, incarnation] {
+            announcePeers();
+            tick(node, incarnation);
+            gossip(node, incarnation);
         });
     }
 
@@ -189,9 +189,9 @@
         std::vector<double> all;
         for (const auto &node : nodes) {
             const auto at =
-                std::find_if(node->inForceAt.begin(), node->inForceAt.end(), [&](const auto &entry) { return entry.first >= version; });
+                std::find_if(node->activeAt.begin(), node->activeAt.end(), [&](const auto &entry) { return entry.first >= version; });
             if (node->isAlive) {
-                all.push_back(at == node->inForceAt.end() ? 86'400 : (at->second - publishedAt.at(version)).toSeconds());
+                all.push_back(at == node->activeAt.end() ? 86'400 : (at->second - publishedAt.at(version)).toSeconds());
             }
         }
         std::sort(all.begin(), all.end());
@@ -210,7 +210,7 @@
     void handle(Node &node, const ConfigEvent &event)
     {
         for (const ConfigAction &action : node.sync->handle(event, now)) {
-            std::visit([&](const auto &one) { carryOut(node, one); }, action);
+            std::visit([&](const auto &one) { execute(node, one); }, action);
         }
     }
 
@@ -241,24 +241,24 @@
     struct Watch
     {
         Node *node;
-        std::uint64_t life;
+        std::uint64_t incarnation;
         FetchValue fetch;
-        Time begunAt;
+        Time startedAt;
     };
 
-    void reply(Node &node, std::uint64_t life, Duration span, FetchId id, const Result<ConfigValue> &value)
+    void reply(Node &node, std::uint64_t incarnation, Duration span, FetchId id, const Result<ConfigValue> &value)
     {
-        after(span, [this, &node, life, id, value] {
-            if (node.isAlive && m_life[node.id] == life) {
+        after(span, [this, &node, incarnation, id, value] {
+            if (node.isAlive && m_incarnations[node.id] == incarnation) {
                 if (value.isOk()) {
-                    keep(node, value.value());
+                    storeValue(node, value.value());
                 }
                 handle(node, ValueFetched { id, value });
             }
         });
     }
 
-    void keep(Node &node, const ConfigValue &value)
+    void storeValue(Node &node, const ConfigValue &value)
     {
         std::visit([&](const auto &one) { node.values[one.hash] = value; }, value);
     }
@@ -268,59 +268,59 @@
         return head.isOk() ? Result<ConfigValue>(ConfigValue(head.value())) : Result<ConfigValue>(head.error());
     }
 
-    void carryOut(Node &node, const FetchValue &fetch)
+    void execute(Node &node, const FetchValue &fetch)
     {
-        const std::uint64_t life = m_life[node.id];
+        const std::uint64_t incarnation = m_incarnations[node.id];
         node.bytes += fetch.kind == ConfigValueKind::Head ? HeadBytes : DeltaBytes;
         if (fetch.peer) {
-            askPeer(node, life, fetch);
+            queryPeer(node, incarnation, fetch);
             return;
         }
         ++node.serviceCalls;
-        if (m_isSilent) {
-            reply(node, life, fetch.timeout, fetch.id, Error { ErrorKind::UpstreamTimeout, {} });
+        if (m_isUnresponsive) {
+            reply(node, incarnation, fetch.timeout, fetch.id, Error { ErrorKind::UpstreamTimeout, {} });
             return;
         }
         if (fetch.kind != ConfigValueKind::Head) {
-            reply(node, life, ServiceTime, fetch.id, valueFor(node, fetch.hash));
+            reply(node, incarnation, ServiceTime, fetch.id, valueFor(node, fetch.hash));
             return;
         }
         const auto current = headFor(node);
         if (fetch.wait > Duration(0) && current.isOk() && current.value().version <= fetch.after) {
-            m_watches.push_back({ &node, life, fetch, now });
-            after(fetch.wait, [this, id = fetch.id, &node, life] { endWatch(node, life, id); });
+            m_watches.push_back({ &node, incarnation, fetch, now });
+            after(fetch.wait, [this, id = fetch.id, &node, incarnation] { endWatch(node, incarnation, id); });
             return;
         }
-        reply(node, life, ServiceTime, fetch.id, headValue(current));
+        reply(node, incarnation, ServiceTime, fetch.id, headValue(current));
     }
 
-    void askPeer(Node &node, std::uint64_t life, const FetchValue &fetch)
+    void queryPeer(Node &node, std::uint64_t incarnation, const FetchValue &fetch)
     {
         const auto peer = std::find_if(nodes.begin(), nodes.end(), [&](const auto &other) { return other->id == *fetch.peer; });
         if (!(*peer)->isAlive || !reaches(node, **peer)) {
-            reply(node, life, Duration(1000), fetch.id, Error { ErrorKind::PeerUnreachable, {} });
+            reply(node, incarnation, Duration(1000), fetch.id, Error { ErrorKind::PeerUnreachable, {} });
             return;
         }
         Node &holder = **peer;
         holder.bytes += fetch.kind == ConfigValueKind::Head ? HeadBytes : DeltaBytes;
         if (fetch.kind == ConfigValueKind::Head) {
             const bool hasHead = !holder.head.hash.empty();
-            reply(node, life, peerTime, fetch.id, hasHead ? headValue(holder.head) : Error { ErrorKind::NotFound, {} });
+            reply(node, incarnation, peerTime, fetch.id, hasHead ? headValue(holder.head) : Error { ErrorKind::NotFound, {} });
             return;
         }
         const auto at = holder.values.find(fetch.hash);
-        reply(node, life, peerTime, fetch.id,
+        reply(node, incarnation, peerTime, fetch.id,
             at == holder.values.end() ? Result<ConfigValue>(Error { ErrorKind::NotFound, {} }) : at->second);
     }
 
-    void carryOut(Node &node, const ActivateConfig &version)
+    void execute(Node &node, const ActivateConfig &version)
     {
         node.head = version.head;
-        node.inForceAt.emplace(version.catalog->version(), now);
+        node.activeAt.emplace(version.catalog->version(), now);
         merge(node, { node.id, version.catalog->version() });
     }
 
-    void carryOut(Node &node, const ReportConfigProblem &report)
+    void execute(Node &node, const ReportConfigProblem &report)
     {
         node.troubles.push_back(report);
     }
@@ -332,16 +332,16 @@
             m_watches.push_back(watch);
             return;
         }
-        reply(*watch.node, watch.life, ServiceTime, watch.fetch.id, headValue(current));
+        reply(*watch.node, watch.incarnation, ServiceTime, watch.fetch.id, headValue(current));
     }
 
-    void endWatch(Node &node, std::uint64_t life, FetchId id)
+    void endWatch(Node &node, std::uint64_t incarnation, FetchId id)
     {
         const auto at = std::find_if(m_watches.begin(), m_watches.end(),
-            [&](const Watch &watch) { return watch.node == &node && watch.life == life && watch.fetch.id == id; });
+            [&](const Watch &watch) { return watch.node == &node && watch.incarnation == incarnation && watch.fetch.id == id; });
         if (at != m_watches.end()) {
             m_watches.erase(at);
-            reply(node, life, ServiceTime, id, headValue(headFor(node)));
+            reply(node, incarnation, ServiceTime, id, headValue(headFor(node)));
         }
     }
 
@@ -363,11 +363,11 @@
         handle(node, VersionAnnounced { fact });
     }
 
-    void gossip(Node &node, std::uint64_t life)
+    void gossip(Node &node, std::uint64_t incarnation)
     {
         constexpr int FanOut = 3;
         constexpr Duration Interval { 200 };
-        if (!node.isAlive || m_life[node.id] != life) {
+        if (!node.isAlive || m_incarnations[node.id] != incarnation) {
             return;
         }
         for (int i = 0; i < FanOut && node.sendsLeft > 0; ++i, --node.sendsLeft) {
@@ -384,19 +384,19 @@
                 }
             });
         }
-        after(Interval, [this, &node, life] { gossip(node, life); });
+        after(Interval, [this, &node, incarnation] { gossip(node, incarnation); });
     }
 
-    void tick(Node &node, std::uint64_t life)
+    void tick(Node &node, std::uint64_t incarnation)
     {
         constexpr Duration Interval { 50 };
-        if (node.isAlive && m_life[node.id] == life) {
+        if (node.isAlive && m_incarnations[node.id] == incarnation) {
             handle(node, ConfigTick {});
-            after(Interval, [this, &node, life] { tick(node, life); });
+            after(Interval, [this, &node, incarnation] { tick(node, incarnation); });
         }
     }
 
-    void tellPeers()
+    void announcePeers()
     {
         PeersChanged peers;
         for (const auto &node : nodes) {
@@ -404,11 +404,11 @@
                 peers.nodes.push_back({ node->id, node->zone, {}, "rpc" });
             }
         }
-        if (peers.nodes.size() == m_toldCount && m_toldLife == lives()) {
+        if (peers.nodes.size() == m_announcedCount && m_announcedIncarnations == totalIncarnations()) {
             return;
         }
-        m_toldCount = peers.nodes.size();
-        m_toldLife = lives();
+        m_announcedCount = peers.nodes.size();
+        m_announcedIncarnations = totalIncarnations();
         for (const auto &node : nodes) {
             if (node->isAlive) {
                 handle(*node, peers);
@@ -416,11 +416,11 @@
         }
     }
 
-    std::uint64_t lives() const
+    std::uint64_t totalIncarnations() const
     {
         std::uint64_t all = 0;
-        for (const auto &[id, life] : m_life) {
-            all += life;
+        for (const auto &[id, incarnation] : m_incarnations) {
+            all += incarnation;
         }
         return all;
     }
@@ -429,10 +429,10 @@
     std::priority_queue<Event> m_events;
     std::uint64_t m_order = 0;
     std::vector<Watch> m_watches;
-    bool m_isSilent = false;
-    absl::flat_hash_map<NodeId, std::uint64_t> m_life;
-    std::size_t m_toldCount = 0;
-    std::uint64_t m_toldLife = 0;
+    bool m_isUnresponsive = false;
+    absl::flat_hash_map<NodeId, std::uint64_t> m_incarnations;
+    std::size_t m_announcedCount = 0;
+    std::uint64_t m_announcedIncarnations = 0;
 };
 
 } // namespace ApricotStep
--- a/tests/coordination/testconfigsync.cpp
+++ b/tests/coordination/testconfigsync.cpp
@@ -7,14 +7,14 @@
 namespace
 {
 
-constexpr Duration Settled = Duration::seconds(10);
+constexpr Duration StartupTime = Duration::seconds(10);
 
 } // namespace
 
 Test(configsync, aChangeIsInForceOnAllNodesWithinSecondsAndFewWatch)
 {
     ConfigTestCluster cluster(40);
-    cluster.run(Settled);
+    cluster.run(StartupTime);
     cr_assert(cluster.allAt(ConfigVersion(1)));
     const auto watchers =
         std::count_if(cluster.nodes.begin(), cluster.nodes.end(), [](const auto &node) { return node->sync->isWatcher(); });
@@ -29,22 +29,22 @@
 Test(configsync, aRestartedNodeDoesNotTakeTheOldVersionOfAStaleService)
 {
     ConfigTestCluster cluster(6);
-    cluster.run(Settled);
+    cluster.run(StartupTime);
     const ConfigHead old = cluster.head;
     const ConfigVersion accepted = cluster.publish();
-    cluster.run(Settled);
+    cluster.run(StartupTime);
     cluster.headFor = [old](const auto &) { return old; };
     cluster.peerTime = Duration(40); // The service is the first to answer.
     for (int i = 0; i < 3; ++i) {
-        cluster.nodes[static_cast<std::size_t>(i)]->inForceAt.clear();
+        cluster.nodes[static_cast<std::size_t>(i)]->activeAt.clear();
         cluster.restart(*cluster.nodes[static_cast<std::size_t>(i)]);
     }
     cluster.run(Duration::seconds(90)); // Long enough for the watches of the others to end with the old head.
     cr_assert(cluster.allAt(accepted));
     for (const auto &node : cluster.nodes) {
-        cr_assert_not(node->inForceAt.contains(ConfigVersion(1)) && node->inForceAt.size() == 1);
+        cr_assert_not(node->activeAt.contains(ConfigVersion(1)) && node->activeAt.size() == 1);
     }
-    cr_assert(cluster.nodes.front()->inForceAt.begin()->first == accepted);
+    cr_assert(cluster.nodes.front()->activeAt.begin()->first == accepted);
     cr_assert(cluster.nodes.back()->sync->catalog()->contains({ AdapterId("a2"), AdapterVersion("1") }));
 }
 
@@ -52,15 +52,15 @@
 Test(configsync, aChangeSpreadsFromTheOneNodeThatReachesTheService)
 {
     ConfigTestCluster cluster(40);
-    cluster.run(Settled);
+    cluster.run(StartupTime);
     const auto watcher =
         std::find_if(cluster.nodes.begin(), cluster.nodes.end(), [](const auto &node) { return !node->sync->isWatcher(); });
-    const NodeId lucky = (*watcher)->id;
-    cluster.headFor = [&, lucky](const auto &node) -> Result<ConfigHead> {
-        return node.id == lucky ? Result<ConfigHead>(cluster.head) : Error { ErrorKind::UpstreamUnreachable, {} };
+    const NodeId reachable = (*watcher)->id;
+    cluster.headFor = [&, reachable](const auto &node) -> Result<ConfigHead> {
+        return node.id == reachable ? Result<ConfigHead>(cluster.head) : Error { ErrorKind::UpstreamUnreachable, {} };
     };
-    cluster.valueFor = [&, lucky](const auto &node, const std::string &hash) -> Result<ConfigValue> {
-        return node.id == lucky ? cluster.stored(hash) : Error { ErrorKind::UpstreamUnreachable, {} };
+    cluster.valueFor = [&, reachable](const auto &node, const std::string &hash) -> Result<ConfigValue> {
+        return node.id == reachable ? cluster.stored(hash) : Error { ErrorKind::UpstreamUnreachable, {} };
     };
     const ConfigVersion first = cluster.publish();
     cluster.run(Duration::seconds(15));
@@ -86,10 +86,10 @@
 Test(configsync, aSecondHeadOfTheSameVersionIsRefusedAndReported)
 {
     ConfigTestCluster cluster(4);
-    cluster.run(Settled);
+    cluster.run(StartupTime);
     const ConfigHead before = cluster.head;
     const ConfigVersion version = cluster.publish("mine");
-    cluster.run(Settled);
+    cluster.run(StartupTime);
     cluster.head = before;
     cluster.publish("other");
     cluster.run(Duration::seconds(60));
@@ -100,7 +100,7 @@
     cr_assert(cluster.nodes[0]->hasTrouble(ConfigProblem::Conflict));
     // The next version comes from the other side: all take it, whole, and say that the histories parted.
     const ConfigVersion next = cluster.publish();
-    cluster.run(Settled);
+    cluster.run(StartupTime);
     cr_assert(cluster.allAt(next));
     cr_assert(cluster.nodes[0]->sync->catalog()->contains({ AdapterId("a2other"), AdapterVersion("1") }));
     cr_assert_not(cluster.nodes[0]->sync->catalog()->contains({ AdapterId("a2mine"), AdapterVersion("1") }));
@@ -112,7 +112,7 @@
 Test(configsync, aCorruptedValueIsFetchedFromAnotherSource)
 {
     ConfigTestCluster cluster(3);
-    cluster.run(Settled);
+    cluster.run(StartupTime);
     cluster.valueFor = [](const auto &, const std::string &) { return Error { ErrorKind::StaleConfig, "other content" }; };
     cluster.restart(*cluster.nodes[0]);
     cluster.headFor = [&](const auto &) { return cluster.head; };
@@ -132,13 +132,13 @@
 Test(configsync, aWatcherThatDiesIsReplaced)
 {
     ConfigTestCluster cluster(12, 1);
-    cluster.run(Settled);
+    cluster.run(StartupTime);
     for (const auto &node : cluster.nodes) {
         if (node->sync->isWatcher()) {
             cluster.kill(*node);
         }
     }
-    cluster.run(Settled);
+    cluster.run(StartupTime);
     const auto watchers = std::count_if(
         cluster.nodes.begin(), cluster.nodes.end(), [](const auto &node) { return node->isAlive && node->sync->isWatcher(); });
     cr_assert_eq(watchers, 2);
@@ -152,10 +152,10 @@
 {
     for (int silence = 1; silence <= 40; silence += 3) {
         ConfigTestCluster cluster(8, 4);
-        cluster.run(Settled);
-        cluster.fallSilent();
+        cluster.run(StartupTime);
+        cluster.stopResponding();
         cluster.run(Duration::seconds(silence));
-        cluster.answerAgain();
+        cluster.resumeResponding();
         const ConfigVersion version = cluster.publish();
         cluster.run(Duration::seconds(5));
         cr_assert(cluster.allAt(version), "after %d s of silence", silence);
@@ -183,10 +183,10 @@
 Test(configsync, aNodeFarBehindStartsFromTheNewerBase)
 {
     ConfigTestCluster cluster(2);
-    cluster.run(Settled);
+    cluster.run(StartupTime);
     cluster.publishBase(ConfigVersion(50));
     const ConfigVersion version = cluster.publish();
-    cluster.run(Settled);
+    cluster.run(StartupTime);
     cr_assert(cluster.allAt(version));
 }
 
@@ -194,7 +194,7 @@
 Test(configsync, anInvalidVersionIsRefusedWholeAndTheLastGoodOneStays)
 {
     ConfigTestCluster cluster(5);
-    cluster.run(Settled);
+    cluster.run(StartupTime);
     const auto calls = cluster.serviceCalls();
     cluster.publish(
         "bad", { { { AdapterId("good"), AdapterVersion("1") }, {} }, { { AdapterId("no words here"), AdapterVersion("1") }, {} } });
@@ -207,6 +207,6 @@
     // The next version mends it: its base holds no trace of the bad one.
     cluster.publishBase(ConfigVersion(3));
     cluster.published(ConfigVersion(3));
-    cluster.run(Settled);
+    cluster.run(StartupTime);
     cr_assert(cluster.allAt(ConfigVersion(3)));
 }
