--- a/coordination/factset.cpp
+++ b/coordination/factset.cpp
@@ -67,10 +67,10 @@
     if (rumour.age >= lifetimeOf(rumour.rumour)) {
         return false;
     }
-    const Time toldAt = now - rumour.age;
-    const auto [at, isNew] = m_facts.try_emplace(rumourName(rumour.rumour), rumour.rumour, toldAt);
+    const Time firstAnnouncedAt = now - rumour.age;
+    const auto [at, isNew] = m_facts.try_emplace(rumourName(rumour.rumour), rumour.rumour, firstAnnouncedAt);
     if (!isNew) {
-        at->second.second = std::max(at->second.second, toldAt);
+        at->second.second = std::max(at->second.second, firstAnnouncedAt);
         return false;
     }
     toggle(rumour.rumour);
--- a/coordination/gossipqueue.cpp
+++ b/coordination/gossipqueue.cpp
@@ -14,7 +14,7 @@
 // Fixed-width fields and length bytes of one item, rounded up.
 constexpr std::size_t FixedBytes = 26;
 
-std::string nameOf(const GossipQueue::Item &item)
+std::string keyOf(const GossipQueue::Item &item)
 {
     return std::visit(Overloaded {
                           [](const MemberUpdate &update) { return "m." + update.id.value(); },
@@ -47,7 +47,7 @@
 
 void GossipQueue::add(Item item, Time now)
 {
-    std::string name = nameOf(item);
+    std::string name = keyOf(item);
     m_entries.insert_or_assign(std::move(name), Entry { std::move(item), now, 0 });
 }
 
@@ -55,11 +55,11 @@
 {
     std::vector<std::pair<int, std::string>> order;
     for (const auto &[name, entry] : m_entries) {
-        order.emplace_back(entry.told, name);
+        order.emplace_back(entry.transmissions, name);
     }
     std::sort(order.begin(), order.end());
     std::size_t bytes = 0;
-    for (const auto &[told, name] : order) {
+    for (const auto &[transmissions, name] : order) {
         const auto at = m_entries.find(name);
         const std::size_t size = std::visit([](const auto &item) { return wireSize(item); }, at->second.item);
         if (bytes + size > maxBytes) {
@@ -73,7 +73,7 @@
                        },
                    },
             at->second.item);
-        if (++at->second.told >= transmitLimit) {
+        if (++at->second.transmissions >= transmitLimit) {
             m_entries.erase(at);
         }
     }
--- a/coordination/gossipqueue.h
+++ b/coordination/gossipqueue.h
@@ -31,7 +31,7 @@
     {
         Item item;
         Time addedAt;
-        int told = 0;
+        int transmissions = 0;
     };
     absl::btree_map<std::string, Entry> m_entries;
 };
--- a/coordination/membermessage.h
+++ b/coordination/membermessage.h
@@ -45,8 +45,8 @@
     std::string rpcAddress;
 };
 
-/** True when @p news replaces what @p known says of the same member. */
-bool supersedes(const MemberUpdate &news, const MemberUpdate &known);
+/** True when @p newer replaces what @p known says of the same member. */
+bool supersedes(const MemberUpdate &newer, const MemberUpdate &known);
 
 /** A rumour and how long ago it was first told, so that all nodes forget it at about the same time without a common clock. */
 struct AgedRumour
--- a/coordination/membership.cpp
+++ b/coordination/membership.cpp
@@ -23,10 +23,10 @@
 // in one piece.
 constexpr std::size_t PiggybackBytes = 800;
 constexpr std::size_t MaxSyncReplies = 40;
-constexpr int ConfirmationsWanted = 3;
+constexpr int ExpectedConfirmations = 3;
 constexpr int RetransmitFactor = 4;
 constexpr std::size_t ConfirmingProbes = 4;
-constexpr std::size_t RefreshPeers = 3;
+constexpr std::size_t ResyncPeers = 3;
 
 // A probe on its way, this node's own or one that it relays.
 struct Probe
@@ -37,7 +37,7 @@
     Time endsAt;
     bool isIndirect = false;
     /** To somebody who is not a live member: no answer means nothing. */
-    bool isMeeting = false;
+    bool isIntroduction = false;
     int relays = 0;
     int nacks = 0;
     // For a relayed probe.
@@ -73,22 +73,22 @@
     std::uint16_t numberSalt = 0;
     bool isLeaving = false;
     bool isViewDue = true;
-    bool isViewShown = false;
+    bool isViewPublished = false;
     bool hasVmList = false;
     /** A later start of this node lives. */
     bool isSuperseded = false;
     /** Only answers to a SyncRequest count until enough have come: an ack says that a peer is there, not what was missed. */
-    bool isWaking = false;
+    bool isResuming = false;
     Time lastTick;
     Time startedAt;
-    Time wokeAt;
-    Time lastHeard;
+    Time resumedAt;
+    Time lastReplyAt;
     Time nextProbe;
     Time nextGossip;
     Time nextSync;
     Time nextReconnect;
-    Time nextRefresh;
-    absl::flat_hash_set<NodeId> heardSinceWake;
+    Time nextResync;
+    absl::flat_hash_set<NodeId> repliedSinceResume;
 
     void on(const MembershipTick &event, Time now);
     void on(const DatagramReceived &event, Time now);
@@ -106,20 +106,20 @@
     void onBody(const SyncReply &reply, const DatagramReceived &event, Time now);
 
     void send(const std::string &address, MemberBody body, const Member *receiver, Time now);
-    void sendEmpty(const std::string &address, MemberBody body, Time now, std::vector<MemberUpdate> updates = {});
+    void sendWithoutGossip(const std::string &address, MemberBody body, Time now, std::vector<MemberUpdate> updates = {});
     bool acceptSender(const MemberDatagram &datagram, const std::string &from, Time now);
-    bool takeUpdate(const MemberUpdate &update, Time now);
-    void takeOtherStart(const MemberUpdate &update, Time now);
-    void takeOpinionOfSelf(const MemberUpdate &update, Time now);
-    void takeRumour(const AgedRumour &rumour, Time now);
-    void confirmSuspicion(Member &member, const NodeId &accuser);
-    void heard(const NodeId &id, Time now);
+    bool applyUpdate(const MemberUpdate &update, Time now);
+    void applyOtherIncarnation(const MemberUpdate &update, Time now);
+    void applyUpdateAboutSelf(const MemberUpdate &update, Time now);
+    void applyRumour(const AgedRumour &rumour, Time now);
+    void addAccuser(Member &member, const NodeId &accuser);
+    void noteReply(const NodeId &id, Time now);
 
     void probe(const NodeId &target, Time now);
-    void meet(const std::string &address, const Member *member, Time now);
-    bool canBeMet(const VmRecord &vm) const;
+    void contact(const std::string &address, const Member *member, Time now);
+    bool isContactable(const VmRecord &vm) const;
     bool isFresh(Time now) const;
-    bool mayShowView(Time now) const;
+    bool mayPublishView(Time now) const;
     void askRelays(std::uint32_t probeSequence, Probe &probe, Time now);
     void checkProbes(Time now);
     void failProbe(const Probe &probe, Time now);
@@ -127,12 +127,12 @@
     void checkSuspicions(Time now);
     Duration suspicionTime(const Member &member) const;
     void gossip(Time now);
-    void spread(Time now);
+    void sendGossip(Time now);
     void synchronise(const std::string &address, Time now);
     void reconnect(Time now);
-    void wake(Time now);
-    void refresh(Time now);
-    void settleNumber(Time now);
+    void onResume(Time now);
+    void requestResync(Time now);
+    void resolveNumberConflict(Time now);
     bool isListedLeaving(const NodeId &id) const;
     void refreshView();
     BucketDigests digests() const;
@@ -164,7 +164,7 @@
     return static_cast<std::uint32_t>(stableHash(bytes));
 }
 
-void Membership::Private::sendEmpty(const std::string &address, MemberBody body, Time, std::vector<MemberUpdate> updates)
+void Membership::Private::sendWithoutGossip(const std::string &address, MemberBody body, Time, std::vector<MemberUpdate> updates)
 {
     MemberDatagram datagram;
     datagram.sender = self.id;
@@ -187,75 +187,75 @@
     if (receiver != nullptr && receiver->update.state != MemberState::Alive) {
         updates.push_back(receiver->update);
     }
-    sendEmpty(address, std::move(body), now, std::move(updates));
+    sendWithoutGossip(address, std::move(body), now, std::move(updates));
     queue.fill(std::get<SendDatagram>(actions.back()).datagram, PiggybackBytes, retransmits(), now);
 }
 
-void Membership::Private::confirmSuspicion(Member &member, const NodeId &accuser)
+void Membership::Private::addAccuser(Member &member, const NodeId &accuser)
 {
     if (!accuser.isEmpty()) {
         member.accusers.insert(accuser);
     }
 }
 
-void Membership::Private::takeOpinionOfSelf(const MemberUpdate &update, Time now)
+void Membership::Private::applyUpdateAboutSelf(const MemberUpdate &update, Time now)
 {
     if (update.incarnation != self.incarnation) {
-        takeOtherStart(update, now);
+        applyOtherIncarnation(update, now);
         return;
     }
-    const bool isAgainst = update.state == MemberState::Suspect || update.state == MemberState::Dead;
-    if (!isAgainst || update.refutation < self.refutation) {
+    const bool isAccusation = update.state == MemberState::Suspect || update.state == MemberState::Dead;
+    if (!isAccusation || update.refutation < self.refutation) {
         return;
     }
     self.refutation = update.refutation + 1;
     ++counters.refutations;
     health.worsen();
     queue.add(self, now);
-    spread(now);
+    sendGossip(now);
 }
 
 // The fleet knows another start of this node. When that one counts as later, either this one is new and its wall clock has stepped back,
 // or this one is the old one, as when a VM that was paused wakes after its replacement has started. Only the new one may insist.
-void Membership::Private::takeOtherStart(const MemberUpdate &update, Time now)
+void Membership::Private::applyOtherIncarnation(const MemberUpdate &update, Time now)
 {
     if (!supersedes(update, self)) {
         return;
     }
-    if (isViewShown) {
+    if (isViewPublished) {
         isSuperseded = true;
         return;
     }
     self.epoch = static_cast<std::uint16_t>(update.epoch + 1);
     queue.add(self, now);
-    spread(now);
+    sendGossip(now);
 }
 
-bool Membership::Private::takeUpdate(const MemberUpdate &update, Time now)
+bool Membership::Private::applyUpdate(const MemberUpdate &update, Time now)
 {
     if (update.id == self.id) {
-        takeOpinionOfSelf(update, now);
+        applyUpdateAboutSelf(update, now);
         return false;
     }
     Member *known = table.find(update.id);
     const bool isSameSuspicion = known != nullptr && known->update.state == MemberState::Suspect && update.state == MemberState::Suspect
         && known->update.incarnation == update.incarnation && known->update.refutation == update.refutation;
-    if (isSameSuspicion && !known->accusers.contains(update.accuser) && std::cmp_less(known->accusers.size(), ConfirmationsWanted + 1)) {
-        confirmSuspicion(*known, update.accuser);
+    if (isSameSuspicion && !known->accusers.contains(update.accuser) && std::cmp_less(known->accusers.size(), ExpectedConfirmations + 1)) {
+        addAccuser(*known, update.accuser);
         queue.add(update, now); // Each further accuser shortens the time to refute everywhere.
         return false;
     }
     // An unknown member without addresses can neither be probed nor served: a later Alive brings them.
-    const bool isUseless = known == nullptr && update.membershipAddress.empty();
+    const bool hasNoAddress = known == nullptr && update.membershipAddress.empty();
     const bool wasLive = known != nullptr && known->isLive();
-    if (isUseless || !table.merge(update, now)) {
+    if (hasNoAddress || !table.merge(update, now)) {
         return false;
     }
     Member &member = *table.find(update.id);
     if (update.state == MemberState::Suspect) {
         member.suspectedAt = now;
         member.accusers.clear();
-        confirmSuspicion(member, update.accuser);
+        addAccuser(member, update.accuser);
         // Few of those who hear of it look for themselves at once, so that a dead member is confirmed within one probe.
         if (random() % (table.liveCount() + 1) < ConfirmingProbes) {
             probe(update.id, now);
@@ -268,7 +268,7 @@
     return true;
 }
 
-void Membership::Private::takeRumour(const AgedRumour &rumour, Time now)
+void Membership::Private::applyRumour(const AgedRumour &rumour, Time now)
 {
     if (!facts.merge(rumour, now)) {
         return;
@@ -279,11 +279,11 @@
     nextGossip = std::min(nextGossip, now);
 }
 
-void Membership::Private::heard(const NodeId &id, Time now)
+void Membership::Private::noteReply(const NodeId &id, Time now)
 {
-    lastHeard = now;
-    if (!isWaking && heardSinceWake.size() < RefreshPeers) {
-        heardSinceWake.insert(id);
+    lastReplyAt = now;
+    if (!isResuming && repliedSinceResume.size() < ResyncPeers) {
+        repliedSinceResume.insert(id);
     }
 }
 
@@ -296,12 +296,12 @@
         return true;
     }
     if (datagram.incarnation == sender->update.incarnation) {
-        return sender->window.accept(datagram.counter);
+        return sender->replayWindow.accept(datagram.counter);
     }
     const bool isNewer = std::any_of(datagram.updates.begin(), datagram.updates.end(),
         [&](const MemberUpdate &update) { return update.id == datagram.sender && supersedes(update, sender->update); });
     if (!isNewer) {
-        sendEmpty(from, Gossip {}, now, { self, sender->update });
+        sendWithoutGossip(from, Gossip {}, now, { self, sender->update });
     }
     return isNewer;
 }
@@ -317,10 +317,10 @@
         return;
     }
     for (const MemberUpdate &update : datagram.updates) {
-        takeUpdate(update, now);
+        applyUpdate(update, now);
     }
     for (const AgedRumour &rumour : datagram.rumours) {
-        takeRumour(rumour, now);
+        applyRumour(rumour, now);
     }
     std::visit([&](const auto &body) { onBody(body, event, now); }, datagram.body);
     if (datagram.digest != digest() && now >= nextSync && queue.isEmpty()) {
@@ -334,11 +334,11 @@
     // Who introduces itself does not know this node, also when this node knows it already, as when the first answer was lost. Without
     // the word of this node it would take itself to be alone.
     const auto isOf = [](const NodeId &id) { return [&id](const MemberUpdate &update) { return update.id == id; }; };
-    const auto &told = event.datagram.updates;
-    auto &answer = std::get<SendDatagram>(actions.back()).datagram.updates;
-    const bool isIntroduced = std::any_of(told.begin(), told.end(), isOf(event.datagram.sender));
-    if (isIntroduced && std::none_of(answer.begin(), answer.end(), isOf(self.id))) {
-        answer.push_back(self);
+    const auto &receivedUpdates = event.datagram.updates;
+    auto &ackUpdates = std::get<SendDatagram>(actions.back()).datagram.updates;
+    const bool hasIntroducedItself = std::any_of(receivedUpdates.begin(), receivedUpdates.end(), isOf(event.datagram.sender));
+    if (hasIntroducedItself && std::none_of(ackUpdates.begin(), ackUpdates.end(), isOf(self.id))) {
+        ackUpdates.push_back(self);
     }
 }
 
@@ -351,10 +351,10 @@
     const Probe probe = at->second;
     probes.erase(at);
     if (!probe.requester.empty()) {
-        sendEmpty(probe.requester, Ack { probe.requesterSequence }, now);
+        sendWithoutGossip(probe.requester, Ack { probe.requesterSequence }, now);
         return;
     }
-    heard(event.datagram.sender, now);
+    noteReply(event.datagram.sender, now);
     health.improve();
 }
 
@@ -375,7 +375,7 @@
     relayed.requester = event.from;
     relayed.requesterSequence = request.sequence;
     probes.emplace(++sequence, relayed);
-    sendEmpty(request.targetAddress, Ping { sequence }, now);
+    sendWithoutGossip(request.targetAddress, Ping { sequence }, now);
 }
 
 void Membership::Private::onBody(const Gossip &, const DatagramReceived &, Time)
@@ -405,7 +405,7 @@
         }
     }
     for (std::size_t replies = 0; replies < MaxSyncReplies; ++replies) {
-        sendEmpty(event.from, SyncReply { request.sequence }, now);
+        sendWithoutGossip(event.from, SyncReply { request.sequence }, now);
         MemberDatagram &datagram = std::get<SendDatagram>(actions.back()).datagram;
         std::size_t bytes = 0;
         // Rumours go first: a node that wakes counts as fresh with the first part.
@@ -427,10 +427,10 @@
 
 void Membership::Private::onBody(const SyncReply &, const DatagramReceived &event, Time now)
 {
-    heard(event.datagram.sender, now);
-    if (isWaking) {
-        heardSinceWake.insert(event.datagram.sender);
-        isWaking = heardSinceWake.size() < std::min(RefreshPeers, table.liveCount());
+    noteReply(event.datagram.sender, now);
+    if (isResuming) {
+        repliedSinceResume.insert(event.datagram.sender);
+        isResuming = repliedSinceResume.size() < std::min(ResyncPeers, table.liveCount());
     }
 }
 
@@ -438,7 +438,7 @@
 {
     std::uniform_int_distribution<std::int64_t> jitter(0, limits.syncInterval.milliseconds());
     nextSync = now + Duration(limits.syncInterval.milliseconds() / 2 + jitter(random));
-    sendEmpty(address, SyncRequest { ++sequence, digests() }, now, { self });
+    sendWithoutGossip(address, SyncRequest { ++sequence, digests() }, now, { self });
 }
 
 void Membership::Private::probe(const NodeId &target, Time now)
@@ -464,10 +464,11 @@
         return;
     }
     // A second direct ping costs one datagram and turns a lost one from a suspicion into nothing.
-    sendEmpty(target->update.membershipAddress, Ping { probeSequence }, now);
+    sendWithoutGossip(target->update.membershipAddress, Ping { probeSequence }, now);
     for (const NodeId &relay : chooseRelays(table, *target, self.zone, static_cast<std::size_t>(limits.relays), random)) {
         ++probe.relays;
-        sendEmpty(table.find(relay)->update.membershipAddress, PingRequest { probeSequence, target->update.membershipAddress }, now);
+        sendWithoutGossip(
+            table.find(relay)->update.membershipAddress, PingRequest { probeSequence, target->update.membershipAddress }, now);
     }
 }
 
@@ -489,8 +490,8 @@
         const Probe ended = probe;
         probes.erase(probeSequence);
         if (!ended.requester.empty()) {
-            sendEmpty(ended.requester, Nack { ended.requesterSequence }, now);
-        } else if (!ended.isMeeting) {
+            sendWithoutGossip(ended.requester, Nack { ended.requesterSequence }, now);
+        } else if (!ended.isIntroduction) {
             failProbe(ended, now);
         }
     }
@@ -516,17 +517,17 @@
     update.state = MemberState::Suspect;
     update.accuser = self.id;
     counters.suspicions += isFirst ? 1 : 0;
-    takeUpdate(update, now);
+    applyUpdate(update, now);
     if (isFirst) {
         // The suspected member hears it from here, not only in its turn, so that it can refute in time.
-        sendEmpty(update.membershipAddress, Gossip {}, now, { update });
+        sendWithoutGossip(update.membershipAddress, Gossip {}, now, { update });
     }
 }
 
 Duration Membership::Private::suspicionTime(const Member &member) const
 {
     const std::size_t others = table.liveCount() > 1 ? table.liveCount() - 1 : 0;
-    const double wanted = static_cast<double>(std::min<std::size_t>(ConfirmationsWanted, others));
+    const double wanted = static_cast<double>(std::min<std::size_t>(ExpectedConfirmations, others));
     const auto min = static_cast<double>(limits.suspicionMin.milliseconds());
     const auto max = static_cast<double>(limits.suspicionMax.milliseconds());
     if (wanted < 1) {
@@ -548,13 +549,13 @@
     for (MemberUpdate &update : dead) {
         update.state = MemberState::Dead;
         update.accuser = {};
-        takeUpdate(update, now);
-        spread(now);
+        applyUpdate(update, now);
+        sendGossip(now);
     }
 }
 
 // Sends the news to a few peers at once. An item that nobody has heard yet spreads by doubling from here.
-void Membership::Private::spread(Time now)
+void Membership::Private::sendGossip(Time now)
 {
     for (const NodeId &id : chooseLive(table, static_cast<std::size_t>(limits.gossipFanOut), {}, random)) {
         const Member *member = table.find(id);
@@ -566,7 +567,7 @@
 void Membership::Private::gossip(Time now)
 {
     if (now >= nextGossip && !queue.isEmpty() && table.liveCount() > 0) {
-        spread(now);
+        sendGossip(now);
     }
 }
 
@@ -581,7 +582,7 @@
     std::vector<std::string> addresses;
     for (const VmRecord &vm : listed) {
         const Member *member = table.find(NodeId(vm.id));
-        if (canBeMet(vm) && (member == nullptr || !member->isLive())) {
+        if (isContactable(vm) && (member == nullptr || !member->isLive())) {
             addresses.push_back(vm.membershipAddress);
         }
     }
@@ -597,34 +598,34 @@
     const std::string &address = addresses[random() % addresses.size()];
     for (const auto &[id, member] : table.members()) {
         if (member.update.membershipAddress == address) {
-            meet(address, &member, now);
+            contact(address, &member, now);
             return;
         }
     }
-    meet(address, nullptr, now);
+    contact(address, nullptr, now);
 }
 
-bool Membership::Private::canBeMet(const VmRecord &vm) const
+bool Membership::Private::isContactable(const VmRecord &vm) const
 {
     return NodeId(vm.id) != self.id && !vm.membershipAddress.empty();
 }
 
-void Membership::Private::meet(const std::string &address, const Member *member, Time now)
+void Membership::Private::contact(const std::string &address, const Member *member, Time now)
 {
     Probe probe;
     probe.sentAt = now;
     probe.indirectAt = Time::never();
     probe.endsAt = now + limits.probeInterval;
-    probe.isMeeting = true;
+    probe.isIntroduction = true;
     probes.emplace(++sequence, probe);
     send(address, Ping { sequence }, member, now);
 }
 
-void Membership::Private::wake(Time now)
+void Membership::Private::onResume(Time now)
 {
     ++counters.pauses;
-    wokeAt = now;
-    heardSinceWake.clear();
+    resumedAt = now;
+    repliedSinceResume.clear();
     // What ran out while this process stood still says nothing about the others: it could not have heard them.
     probes.clear();
     for (const auto &[id, member] : table.members()) {
@@ -632,22 +633,22 @@
             table.find(id)->suspectedAt = now;
         }
     }
-    isWaking = true;
-    nextRefresh = now;
+    isResuming = true;
+    nextResync = now;
 }
 
 // Asked again and again while some answers are missing: they may be lost, and the peers may be dead by now.
-void Membership::Private::refresh(Time now)
+void Membership::Private::requestResync(Time now)
 {
-    if (!isWaking || now < nextRefresh) {
+    if (!isResuming || now < nextResync) {
         return;
     }
     if (table.liveCount() == 0) {
-        isWaking = now - wokeAt < limits.freshFor; // Nobody is there to ask.
+        isResuming = now - resumedAt < limits.freshFor; // Nobody is there to ask.
         return;
     }
-    nextRefresh = now + limits.probeInterval;
-    for (const NodeId &id : chooseLive(table, RefreshPeers, {}, random)) {
+    nextResync = now + limits.probeInterval;
+    for (const NodeId &id : chooseLive(table, ResyncPeers, {}, random)) {
         synchronise(table.find(id)->update.membershipAddress, now);
     }
 }
@@ -656,16 +657,16 @@
 {
     if (lastTick == Time()) {
         startedAt = now;
-        wokeAt = now;
-        isWaking = true;
+        resumedAt = now;
+        isResuming = true;
         lastTick = now;
     }
     const bool hasPaused = now - lastTick >= limits.pauseGap;
     lastTick = now;
     if (hasPaused) {
-        wake(now);
+        onResume(now);
     }
-    refresh(now);
+    requestResync(now);
     checkProbes(now);
     checkSuspicions(now);
     if (now >= nextProbe) {
@@ -675,7 +676,7 @@
     reconnect(now);
     gossip(now);
     isViewDue = facts.expire(now) || isViewDue;
-    table.forgetBefore(now - limits.forgetAfter);
+    table.removeDeadBefore(now - limits.removeDeadAfter);
 }
 
 void Membership::Private::on(const VmListRead &event, Time now)
@@ -686,14 +687,14 @@
         if (vm.role == VmRole::Entry) {
             listed.push_back(vm);
         } else if (vm.leaving) {
-            takeRumour({ LeavingFact { vm.id, Incarnation() }, Duration() }, now);
+            applyRumour({ LeavingFact { vm.id, Incarnation() }, Duration() }, now);
         }
     }
     if (table.liveCount() == 0) {
         // A node that starts asks several at once: until one answers it knows nobody.
         for (const VmRecord &vm : listed) {
-            if (canBeMet(vm) && random() % listed.size() < RefreshPeers) {
-                meet(vm.membershipAddress, table.find(NodeId(vm.id)), now);
+            if (isContactable(vm) && random() % listed.size() < ResyncPeers) {
+                contact(vm.membershipAddress, table.find(NodeId(vm.id)), now);
             }
         }
     }
@@ -702,15 +703,15 @@
 
 void Membership::Private::on(const AnnounceRumour &event, Time now)
 {
-    takeRumour({ event.rumour, Duration() }, now);
+    applyRumour({ event.rumour, Duration() }, now);
     gossip(now);
 }
 
 void Membership::Private::on(const AnnounceLeaving &, Time now)
 {
     isLeaving = true;
-    takeRumour({ LeavingFact { self.id.value(), self.incarnation }, Duration() }, now);
-    spread(now);
+    applyRumour({ LeavingFact { self.id.value(), self.incarnation }, Duration() }, now);
+    sendGossip(now);
 }
 
 void Membership::Private::on(const AnnounceLeft &, Time now)
@@ -718,13 +719,13 @@
     self.state = MemberState::Left;
     queue.add(self, now);
     // It has no later turn: the news goes out twice as wide as usual.
-    spread(now);
-    spread(now);
+    sendGossip(now);
+    sendGossip(now);
 }
 
 // Two nodes with one number could make equal fencing tokens, and a new owner's order would not shut out an old one's. The one with the
 // greater id gives way.
-void Membership::Private::settleNumber(Time now)
+void Membership::Private::resolveNumberConflict(Time now)
 {
     const auto isTaken = [&] {
         return std::any_of(table.members().begin(), table.members().end(),
@@ -746,21 +747,21 @@
         // Alone: at once when the list names this node and nobody to meet, else when there was time enough to be met. A list that does
         // not name this node yet may well lack others too.
         const bool isNamed = std::any_of(listed.begin(), listed.end(), [&](const VmRecord &vm) { return NodeId(vm.id) == self.id; });
-        const bool isAlone = isNamed && std::none_of(listed.begin(), listed.end(), [&](const VmRecord &vm) { return canBeMet(vm); });
-        return isAlone || now - wokeAt >= limits.freshFor;
+        const bool isAlone = isNamed && std::none_of(listed.begin(), listed.end(), [&](const VmRecord &vm) { return isContactable(vm); });
+        return isAlone || now - resumedAt >= limits.freshFor;
     }
-    const std::size_t wanted = std::min(RefreshPeers, table.liveCount());
-    return heardSinceWake.size() >= wanted && now - lastHeard < limits.freshFor;
+    const std::size_t wanted = std::min(ResyncPeers, table.liveCount());
+    return repliedSinceResume.size() >= wanted && now - lastReplyAt < limits.freshFor;
 }
 
 // A node that starts and shows a view of itself alone would take itself for the owner of everything.
-bool Membership::Private::mayShowView(Time now) const
+bool Membership::Private::mayPublishView(Time now) const
 {
-    const bool areAllMet = std::all_of(listed.begin(), listed.end(), [&](const VmRecord &vm) {
+    const bool areAllKnown = std::all_of(listed.begin(), listed.end(), [&](const VmRecord &vm) {
         const Member *member = table.find(NodeId(vm.id));
-        return !canBeMet(vm) || (member != nullptr && member->isLive());
+        return !isContactable(vm) || (member != nullptr && member->isLive());
     });
-    return isFresh(now) && hasVmList && (areAllMet || now - startedAt >= limits.suspicionMax);
+    return isFresh(now) && hasVmList && (areAllKnown || now - startedAt >= limits.suspicionMax);
 }
 
 bool Membership::Private::isListedLeaving(const NodeId &id) const
@@ -773,8 +774,8 @@
     auto next = std::make_shared<FleetView>();
     const auto add = [&](const MemberUpdate &update) {
         NodeView node { update.id, update.zone, update.callerAddress, update.rpcAddress, update.incarnation };
-        const bool isGoing = facts.isLeaving(update.id.value(), update.incarnation) || isListedLeaving(update.id);
-        (isGoing ? next->leavingNodes : next->nodes).push_back(std::move(node));
+        const bool isNodeLeaving = facts.isLeaving(update.id.value(), update.incarnation) || isListedLeaving(update.id);
+        (isNodeLeaving ? next->leavingNodes : next->nodes).push_back(std::move(node));
     };
     add(self);
     for (const auto &[id, member] : table.members()) {
@@ -784,7 +785,7 @@
     }
     next->isNodeMissing = std::any_of(listed.begin(), listed.end(), [&](const VmRecord &vm) {
         const Member *member = table.find(NodeId(vm.id));
-        return canBeMet(vm) && !vm.leaving && (member == nullptr || member->update.state == MemberState::Dead);
+        return isContactable(vm) && !vm.leaving && (member == nullptr || member->update.state == MemberState::Dead);
     });
     // A VM that the list names without a membership address cannot be probed: it is taken at the list's word.
     for (const VmRecord &vm : listed) {
@@ -824,10 +825,10 @@
 {
     d->actions.clear();
     std::visit([&](const auto &what) { d->on(what, now); }, event);
-    d->isViewShown = d->isViewShown || d->mayShowView(now);
-    if (d->isViewDue && d->isViewShown) {
+    d->isViewPublished = d->isViewPublished || d->mayPublishView(now);
+    if (d->isViewDue && d->isViewPublished) {
         d->isViewDue = false;
-        d->settleNumber(now);
+        d->resolveNumberConflict(now);
         d->refreshView();
     }
     return std::move(d->actions);
--- a/coordination/membership.h
+++ b/coordination/membership.h
@@ -87,7 +87,7 @@
     /** A view is fresh when a peer answered within this time. */
     Duration freshFor = Duration::seconds(5);
     /** How long dead and left members are remembered. */
-    Duration forgetAfter = Duration::seconds(600);
+    Duration removeDeadAfter = Duration::seconds(600);
     int relays = 3;
     int gossipFanOut = 3;
 };
--- a/coordination/membertable.cpp
+++ b/coordination/membertable.cpp
@@ -33,7 +33,7 @@
             return false;
         }
         if (update.incarnation != member.update.incarnation) {
-            member.window = ReplayWindow();
+            member.replayWindow = ReplayWindow();
         }
         toggle(member);
         m_live -= member.isLive() ? 1 : 0;
@@ -79,7 +79,7 @@
     return m_members;
 }
 
-void MemberTable::forgetBefore(Time moment)
+void MemberTable::removeDeadBefore(Time moment)
 {
     absl::erase_if(m_members, [&](const auto &entry) { return !entry.second.isLive() && entry.second.changedAt < moment; });
 }
--- a/coordination/membertable.h
+++ b/coordination/membertable.h
@@ -16,7 +16,7 @@
 {
     MemberUpdate update;
     Time changedAt;
-    ReplayWindow window;
+    ReplayWindow replayWindow;
     /** While it is suspected: who says so, and until when it may refute. */
     absl::flat_hash_set<NodeId> accusers;
     Time suspectedAt;
@@ -43,7 +43,7 @@
     std::size_t liveCount() const;
     const absl::btree_map<NodeId, Member> &members() const;
     /** Forgets members that have been dead or left since before @p moment. */
-    void forgetBefore(Time moment);
+    void removeDeadBefore(Time moment);
     /** XOR of the hashes of the live members of each bucket. */
     const BucketDigests &digests() const;
 
--- a/tests/coordination/testmembership.cpp
+++ b/tests/coordination/testmembership.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-void grow(FakeFleet &fleet, std::size_t count)
+void addNodes(FakeFleet &fleet, std::size_t count)
 {
     for (std::size_t i = 0; i < count; ++i) {
         fleet.add("zone" + std::to_string(i % 3));
@@ -32,7 +32,7 @@
 Test(membership, nodesMeetThroughTheVmListAndAgree)
 {
     FakeFleet fleet(1);
-    grow(fleet, 12);
+    addNodes(fleet, 12);
     cr_assert(fleet.isAgreed());
     cr_assert(fleet.nodes[3].membership->isFresh(fleet.now()));
 }
@@ -41,7 +41,7 @@
 {
     // A VM fails. Until the others notice, callers are sent to it and their connections time out.
     FakeFleet fleet(2);
-    grow(fleet, 10);
+    addNodes(fleet, 10);
     fleet.nodes[4].isUp = false;
     fleet.run(Duration::seconds(10));
     cr_assert(fleet.isAgreed());
@@ -55,7 +55,7 @@
 {
     // The network drops one datagram in ten for five minutes. A member declared dead for that gives its upstreams away for nothing.
     FakeFleet fleet(3);
-    grow(fleet, 12);
+    addNodes(fleet, 12);
     fleet.loss = 0.1;
     fleet.duplication = 0.1;
     fleet.run(Duration::seconds(300));
@@ -68,7 +68,7 @@
 {
     // A switch fails and both sides go on alone, each with the other declared dead. When it is mended they must find each other again.
     FakeFleet fleet(4);
-    grow(fleet, 8);
+    addNodes(fleet, 8);
     fleet.isCut = [](std::size_t from, std::size_t to) { return (from < 4) != (to < 4); };
     fleet.run(Duration::seconds(60));
     cr_assert_not(fleet.sees(0, 7));
@@ -82,7 +82,7 @@
 {
     // A process stands still for a minute while others take its upstreams over. When it wakes it still believes that it owns them.
     FakeFleet fleet(5);
-    grow(fleet, 5);
+    addNodes(fleet, 5);
     const Membership &paused = *fleet.nodes[2].membership;
     fleet.nodes[2].pausedUntil = fleet.now() + Duration::seconds(60);
     fleet.run(Duration::seconds(59));
@@ -100,7 +100,7 @@
 {
     // One node's VM list shows a leaving upstream; those of the others lag. New work sent there meanwhile is cut off when the VM goes.
     FakeFleet fleet(6);
-    grow(fleet, 60);
+    addNodes(fleet, 60);
     fleet.loss = 0.01;
     VmRecord vm;
     vm.id = "engine7";
@@ -116,23 +116,23 @@
 Test(membership, aLateNodeLearnsWhatWasSaidBefore)
 {
     FakeFleet fleet(7);
-    grow(fleet, 6);
+    addNodes(fleet, 6);
     fleet.handle(1, AnnounceRumour { ConfigFact { NodeId("node1"), ConfigVersion(9) } });
     fleet.handle(1, AnnounceRumour { LeavingFact { "engine1", Incarnation() } });
     fleet.handle(1, AnnounceRumour { HandOffFact { NodeId("old"), Incarnation(4), NodeId("node1") } });
     fleet.run(Duration::seconds(60));
-    const std::size_t late = fleet.add("zone1");
+    const std::size_t newcomer = fleet.add("zone1");
     fleet.readVmList();
     fleet.run(Duration::seconds(30));
-    cr_assert_eq(fleet.nodes[late].membership->rumours().size(), 3);
-    cr_assert_eq(fleet.nodes[late].learned.size(), 3);
+    cr_assert_eq(fleet.nodes[newcomer].membership->rumours().size(), 3);
+    cr_assert_eq(fleet.nodes[newcomer].learned.size(), 3);
 }
 
 Test(membership, theVmListAloneKillsNobodyAndNeedNotNameEveryone)
 {
     // The VM list goes stale and forgets a node that serves. Dropping it would cut its callers off.
     FakeFleet fleet(8);
-    grow(fleet, 5);
+    addNodes(fleet, 5);
     fleet.list.vms.erase(fleet.list.vms.begin() + 2);
     fleet.readVmList();
     fleet.run(Duration::seconds(30));
@@ -143,7 +143,7 @@
 {
     // A node shuts down gracefully. It gets no new work, but callers who hold its keys still have to reach it.
     FakeFleet fleet(9);
-    grow(fleet, 5);
+    addNodes(fleet, 5);
     fleet.handle(1, AnnounceLeaving {});
     fleet.run(Duration::seconds(3));
     cr_assert_not(fleet.sees(0, 1));
