--- a/coordination/fleetscope.cpp
+++ b/coordination/fleetscope.cpp
@@ -7,23 +7,23 @@
 
 FleetScope::FleetScope(FleetScopeLimits limits, ZoneId own)
     : m_limits(limits)
-    , m_own(std::move(own))
+    , m_ownZone(std::move(own))
 {
 }
 
 void FleetScope::update(int nodesAlive, const std::set<ZoneId> &engineZones)
 {
     const bool isDivided = !m_zone.isEmpty();
-    if (nodesAlive <= (isDivided ? m_limits.smallestDivided - 1 : m_limits.largestWhole)) {
+    if (nodesAlive <= (isDivided ? m_limits.minDividedNodes - 1 : m_limits.maxUndividedNodes)) {
         m_zone = ZoneId();
         return;
     }
-    if (engineZones.contains(m_own) || engineZones.empty()) {
-        m_zone = m_own;
+    if (engineZones.contains(m_ownZone) || engineZones.empty()) {
+        m_zone = m_ownZone;
         return;
     }
     // A zone without engines of its own: its nodes all join the next one that has some.
-    const auto next = engineZones.upper_bound(m_own);
+    const auto next = engineZones.upper_bound(m_ownZone);
     m_zone = next != engineZones.end() ? *next : *engineZones.begin();
 }
 
--- a/coordination/fleetscope.h
+++ b/coordination/fleetscope.h
@@ -19,9 +19,9 @@
 struct FleetScopeLimits
 {
     /** Up to so many nodes, this one included, all use all engines. */
-    int largestWhole = 32;
+    int maxUndividedNodes = 32;
     /** A divided fleet becomes whole again only below this, so that one restart does not do it. */
-    int smallestDivided = 24;
+    int minDividedNodes = 24;
     /** Between messages to nodes that use the same engines. */
     Duration inScopeInterval { 200 };
     /** Between messages to all others: they only count votes, and callers are hardly ever sent there. */
@@ -47,7 +47,7 @@
 
 private:
     FleetScopeLimits m_limits;
-    ZoneId m_own;
+    ZoneId m_ownZone;
     ZoneId m_zone;
 };
 
--- a/coordination/shardmap.cpp
+++ b/coordination/shardmap.cpp
@@ -12,7 +12,7 @@
 {
 
 // The loss of one holder stops at most an eighth of the loads.
-constexpr std::uint64_t LeastShards = 8;
+constexpr std::uint64_t MinShards = 8;
 
 } // namespace
 
@@ -23,12 +23,12 @@
         m_zones.emplace_back();
     }
     std::sort(m_zones.begin(), m_zones.end());
-    m_shardsOfZone = (LeastShards + m_zones.size() - 1) / m_zones.size();
+    m_shardsPerZone = (MinShards + m_zones.size() - 1) / m_zones.size();
 }
 
 std::uint64_t ShardMap::count() const
 {
-    return m_shardsOfZone * m_zones.size();
+    return m_shardsPerZone * m_zones.size();
 }
 
 EngineShard ShardMap::shardOf(const UpstreamRecord &engine) const
@@ -37,13 +37,13 @@
     const auto at = std::lower_bound(m_zones.begin(), m_zones.end(), engine.zone);
     const bool isKnown = at != m_zones.end() && *at == engine.zone;
     // An engine in a zone that nobody has heard of still has one holder.
-    const std::uint64_t zone = isKnown ? static_cast<std::uint64_t>(at - m_zones.begin()) : hash / m_shardsOfZone % m_zones.size();
-    return EngineShard(zone * m_shardsOfZone + hash % m_shardsOfZone);
+    const std::uint64_t zone = isKnown ? static_cast<std::uint64_t>(at - m_zones.begin()) : hash / m_shardsPerZone % m_zones.size();
+    return EngineShard(zone * m_shardsPerZone + hash % m_shardsPerZone);
 }
 
 const ZoneId &ShardMap::zoneOf(EngineShard shard) const
 {
-    return m_zones[shard.value() / m_shardsOfZone];
+    return m_zones[shard.value() / m_shardsPerZone];
 }
 
 } // namespace ApricotStep
--- a/coordination/shardmap.h
+++ b/coordination/shardmap.h
@@ -30,7 +30,7 @@
 
 private:
     std::vector<ZoneId> m_zones;
-    std::uint64_t m_shardsOfZone = 1;
+    std::uint64_t m_shardsPerZone = 1;
 };
 
 } // namespace ApricotStep
