--- a/coordination/orderlease.cpp
+++ b/coordination/orderlease.cpp
@@ -18,11 +18,11 @@
 constexpr std::uint64_t NodeBits = 16;
 
 // A forged count must not keep all orders from being given: no fleet is larger.
-constexpr std::size_t MostNodes = 4096;
+constexpr std::size_t MaxNodes = 4096;
 
-struct Other
+struct Peer
 {
-    Time heardAt;
+    Time lastReceivedAt;
     /** It is alive while it was heard of within this. */
     Duration heartbeatTimeout;
     ZoneId zone;
@@ -33,7 +33,7 @@
     /** Nodes that it remembers itself. */
     std::size_t rememberedNodes = 0;
     /** It gave no orders to this shard after this. */
-    Time quietSince = Time::never();
+    Time noOrdersSince = Time::never();
     /** It is only an address that we were told of. */
     bool isSeed = false;
     /** What it has promised to this node: the claim's time of sending. */
@@ -48,16 +48,16 @@
     EngineShard shard;
     NodeId self;
     Incarnation incarnation;
-    LeasePriority standing;
+    LeasePriority priorityInputs;
     Time startedAt;
-    absl::btree_map<NodeId, Other> others;
+    absl::btree_map<NodeId, Peer> peers;
     /** Another node's claim was heard last at, and when it said that it gives orders. */
-    Time claimHeardAt;
+    Time lastClaimAt;
     NodeId claimant;
-    Time otherOrdersFrom = Time::never();
-    NodeId promisedTo;
-    Incarnation promisedIncarnation;
-    Time promisedUntil;
+    Time otherHolderOrdersFrom = Time::never();
+    NodeId grantedTo;
+    Incarnation grantedIncarnation;
+    Time grantedUntil;
     FencingToken greatestFence;
     /** Set while this node claims or holds. */
     std::optional<FencingToken> fence;
@@ -66,30 +66,30 @@
     bool isReleased = false;
     bool holdsOther = false;
     /** When this node was last told that it may give orders. */
-    Time orderedAt;
+    Time lastOrderedAt;
 
     /** Whether this node hears more than half of all that it has not forgotten, itself included. */
     bool reachesMajority(Time now) const
     {
         std::size_t all = 1;
         std::size_t heard = 1;
-        for (const auto &[id, other] : others) {
+        for (const auto &[id, peer] : peers) {
             ++all;
-            heard += isAlive(other, now) ? 1 : 0;
+            heard += isAlive(peer, now) ? 1 : 0;
         }
         return 2 * heard > all;
     }
-    static bool isAlive(const Other &other, Time now)
+    static bool isAlive(const Peer &peer, Time now)
     {
-        return !other.isSeed && now - other.heardAt <= other.heartbeatTimeout;
+        return !peer.isSeed && now - peer.lastReceivedAt <= peer.heartbeatTimeout;
     }
-    bool counts(const Other &other, Time now) const
+    bool isVoter(const Peer &peer, Time now) const
     {
-        return isRemembered(other, now) || !reachesMajority(now);
+        return isRemembered(peer, now) || !reachesMajority(now);
     }
-    bool isRemembered(const Other &other, Time now) const
+    bool isRemembered(const Peer &peer, Time now) const
     {
-        return now - other.heardAt <= (other.isLeaving ? limits.leaverMemory : limits.memory);
+        return now - peer.lastReceivedAt <= (peer.isLeaving ? limits.leavingVoterTimeout : limits.voterTimeout);
     }
     /**
      * The size of the fleet, as far as any node that lives remembers it. A node that has just started counts only those that it hears;
@@ -98,28 +98,28 @@
     std::size_t fleetSize(std::size_t ownCount, Time now) const
     {
         std::size_t size = ownCount;
-        for (const auto &[id, other] : others) {
-            if (isAlive(other, now)) {
-                size = std::max(size, other.rememberedNodes);
+        for (const auto &[id, peer] : peers) {
+            if (isAlive(peer, now)) {
+                size = std::max(size, peer.rememberedNodes);
             }
         }
         return size;
     }
-    std::vector<std::pair<NodeId, const Other *>> counted(Time now) const
+    std::vector<std::pair<NodeId, const Peer *>> voters(Time now) const
     {
-        std::vector<std::pair<NodeId, const Other *>> result;
-        for (const auto &[id, other] : others) {
-            if (counts(other, now)) {
-                result.emplace_back(id, &other);
+        std::vector<std::pair<NodeId, const Peer *>> result;
+        for (const auto &[id, peer] : peers) {
+            if (isVoter(peer, now)) {
+                result.emplace_back(id, &peer);
             }
         }
         return result;
     }
-    NodeId lowestOf(const std::vector<std::pair<NodeId, const Other *>> &members) const
+    NodeId lowestOf(const std::vector<std::pair<NodeId, const Peer *>> &members) const
     {
         NodeId lowest = self;
-        for (const auto &[id, other] : members) {
-            if (!other->isSeed) {
+        for (const auto &[id, peer] : members) {
+            if (!peer->isSeed) {
                 lowest = std::min(lowest, id);
             }
         }
@@ -128,22 +128,22 @@
     // The nodes' order for this shard. One in the engines' own zone sees their load soonest and is cut off together with them; a large one
     // has the time to weigh all wants, which a node with a twelfth of a core has not. Among equals each shard has another first one, so
     // that the loss of one node silences one shard.
-    std::tuple<bool, double, bool, std::uint64_t> preference(const NodeId &id, const ZoneId &zone, double capacity, bool holdsAnother) const
+    std::tuple<bool, double, bool, std::uint64_t> priority(const NodeId &id, const ZoneId &zone, double capacity, bool holdsAnother) const
     {
-        return { zone == standing.shardZone, capacity, !holdsAnother,
+        return { zone == priorityInputs.shardZone, capacity, !holdsAnother,
             mixHashes(stableHash(id.value()), stableHash(std::to_string(shard.value()))) };
     }
-    bool isFirstOfLive(Time now) const
+    bool hasHighestPriority(Time now) const
     {
-        const auto own = preference(self, standing.zone, standing.capacity, holdsOther);
-        return std::none_of(others.begin(), others.end(), [this, now, &own](const auto &entry) {
-            const Other &other = entry.second;
-            return isAlive(other, now) && !other.isLeaving && preference(entry.first, other.zone, other.capacity, other.holdsOther) > own;
+        const auto own = priority(self, priorityInputs.zone, priorityInputs.capacity, holdsOther);
+        return std::none_of(peers.begin(), peers.end(), [this, now, &own](const auto &entry) {
+            const Peer &peer = entry.second;
+            return isAlive(peer, now) && !peer.isLeaving && priority(entry.first, peer.zone, peer.capacity, peer.holdsOther) > own;
         });
     }
-    bool hasPromisedOther(Time now) const
+    bool hasGrantedToOther(Time now) const
     {
-        return now < promisedUntil && promisedTo != self;
+        return now < grantedUntil && grantedTo != self;
     }
     /** Until when a majority's promises bind; Time() when there is no majority. */
     Time heldUntil(Time now) const
@@ -151,18 +151,18 @@
         if (!fence) {
             return Time();
         }
-        const auto members = counted(now);
+        const auto members = voters(now);
         const std::size_t all = fleetSize(members.size() + 1, now);
         // Its own voice counts as any other: only while it has promised itself.
         std::vector<Time> granted;
-        if (promisedTo == self && now < promisedUntil) {
-            granted.push_back(promisedUntil - limits.lease);
+        if (grantedTo == self && now < grantedUntil) {
+            granted.push_back(grantedUntil - limits.leaseDuration);
         }
         const NodeId lowest = lowestOf(members);
         bool hasLowest = !granted.empty() && lowest == self;
-        for (const auto &[id, other] : members) {
-            if (other->grantedClaim && now < *other->grantedClaim + limits.lease - limits.margin) {
-                granted.push_back(*other->grantedClaim);
+        for (const auto &[id, peer] : members) {
+            if (peer->grantedClaim && now < *peer->grantedClaim + limits.leaseDuration - limits.clockMargin) {
+                granted.push_back(*peer->grantedClaim);
                 hasLowest = hasLowest || id == lowest;
             }
         }
@@ -174,73 +174,74 @@
             return Time();
         }
         std::sort(granted.begin(), granted.end(), std::greater<>());
-        return granted[needed - 1] + limits.lease - limits.margin;
+        return granted[needed - 1] + limits.leaseDuration - limits.clockMargin;
     }
     bool isStarting(Time now) const
     {
-        return now - startedAt < limits.lease + limits.margin;
+        return now - startedAt < limits.leaseDuration + limits.clockMargin;
     }
     /** The latest moment at which another node may have given an order. */
-    Time othersQuietSince(Time now) const
+    Time noPeerOrdersSince(Time now) const
     {
         // A node that this one never heard of may have held the lease until this one began: others remember more nodes than this one knows.
-        if (fleetSize(others.size() + 1, now) > others.size() + 1) {
+        if (fleetSize(peers.size() + 1, now) > peers.size() + 1) {
             return heldSince;
         }
         Time latest;
-        for (const auto &[id, other] : others) {
+        for (const auto &[id, peer] : peers) {
             // What it said before this lease began may be older than its last order.
-            const bool isCurrent = other.heardAt >= heldSince + limits.messageDelay;
-            latest = std::max(latest, isCurrent ? std::min(other.quietSince, heldSince) : heldSince);
+            const bool isCurrent = peer.lastReceivedAt >= heldSince + limits.maxMessageDelay;
+            latest = std::max(latest, isCurrent ? std::min(peer.noOrdersSince, heldSince) : heldSince);
         }
         return latest;
     }
     Duration ownOrdersIn(Time now) const
     {
-        const Duration silence = limits.handoverDelay + limits.margin;
-        return heldSince == Time::never() ? silence : std::max(othersQuietSince(now) + silence - now, Duration(0));
+        const Duration handoverTime = limits.handoverDelay + limits.clockMargin;
+        return heldSince == Time::never() ? handoverTime : std::max(noPeerOrdersSince(now) + handoverTime - now, Duration(0));
     }
-    void noteHeld(Time now)
+    void updateHeldSince(Time now)
     {
         if (heldSince == Time::never() && fence && greatestFence <= *fence && now < heldUntil(now)) {
             heldSince = now;
         }
     }
-    void noteQuiet(Other &other, const FleetMessage &message, Time now) const
+    void updateNoOrdersSince(Peer &peer, const FleetMessage &message, Time now) const
     {
-        Time quiet = now - message.uptime;
+        Time since = now - message.uptime;
         for (const LastOrder &order : message.lastOrders) {
             if (order.shard == shard) {
-                quiet = std::max(quiet, now - order.ago);
+                since = std::max(since, now - order.ago);
             }
         }
-        other.quietSince = quiet;
+        peer.noOrdersSince = since;
     }
-    void forgetOld(Time now)
+    void removeExpiredPeers(Time now)
     {
         if (!reachesMajority(now)) {
             return;
         }
-        absl::erase_if(others, [this, now](const auto &entry) { return !isRemembered(entry.second, now); });
+        absl::erase_if(peers, [this, now](const auto &entry) { return !isRemembered(entry.second, now); });
     }
     void stopClaiming()
     {
         fence.reset();
         heldSince = Time::never();
-        for (auto &[id, other] : others) {
-            other.grantedClaim.reset();
+        for (auto &[id, peer] : peers) {
+            peer.grantedClaim.reset();
         }
     }
 };
 
-OrderLease::OrderLease(OrderLeaseLimits limits, EngineShard shard, NodeId self, Incarnation incarnation, Time now, LeasePriority standing)
+OrderLease::OrderLease(
+    OrderLeaseLimits limits, EngineShard shard, NodeId self, Incarnation incarnation, Time now, LeasePriority priorityInputs)
     : d(std::make_unique<Private>())
 {
     d->limits = limits;
     d->shard = shard;
     d->self = std::move(self);
     d->incarnation = incarnation;
-    d->standing = std::move(standing);
+    d->priorityInputs = std::move(priorityInputs);
     d->startedAt = now;
 }
 
@@ -249,10 +250,10 @@
 
 void OrderLease::addSeed(const std::string &peerAddress, Time now)
 {
-    Other seed;
-    seed.heardAt = now;
+    Peer seed;
+    seed.lastReceivedAt = now;
     seed.isSeed = true;
-    d->others.emplace(NodeId("seed " + peerAddress), seed);
+    d->peers.emplace(NodeId("seed " + peerAddress), seed);
 }
 
 std::optional<LeaseGrant> OrderLease::onMessage(const FleetMessage &message, Time now)
@@ -260,16 +261,16 @@
     if (message.sender == d->self) {
         return std::nullopt;
     }
-    d->others.erase(NodeId("seed " + message.peerAddress));
-    Other &other = d->others[message.sender];
-    other.heardAt = now;
-    other.heartbeatTimeout = std::max(d->limits.liveness, heartbeatTimeout(message.interval));
-    other.zone = message.zone;
-    other.capacity = message.capacity;
-    other.isLeaving = message.isLeaving;
-    other.rememberedNodes = std::min<std::size_t>(message.rememberedNodes, MostNodes);
-    d->noteQuiet(other, message, now);
-    other.holdsOther =
+    d->peers.erase(NodeId("seed " + message.peerAddress));
+    Peer &peer = d->peers[message.sender];
+    peer.lastReceivedAt = now;
+    peer.heartbeatTimeout = std::max(d->limits.livenessTimeout, heartbeatTimeout(message.interval));
+    peer.zone = message.zone;
+    peer.capacity = message.capacity;
+    peer.isLeaving = message.isLeaving;
+    peer.rememberedNodes = std::min<std::size_t>(message.rememberedNodes, MaxNodes);
+    d->updateNoOrdersSince(peer, message, now);
+    peer.holdsOther =
         std::any_of(message.claims.begin(), message.claims.end(), [this](const LeaseClaim &entry) { return entry.shard != d->shard; });
     for (const LeaseGrant &grant : message.grants) {
         if (grant.shard != d->shard) {
@@ -277,55 +278,55 @@
         }
         d->greatestFence = std::max(d->greatestFence, grant.greatestFence);
         if (grant.holder == d->self && grant.incarnation == d->incarnation) {
-            other.grantedClaim = std::max(other.grantedClaim.value_or(Time()), grant.sentAt);
+            peer.grantedClaim = std::max(peer.grantedClaim.value_or(Time()), grant.sentAt);
         }
     }
-    d->noteHeld(now);
+    d->updateHeldSince(now);
     const bool isRelease = std::find(message.releases.begin(), message.releases.end(), d->shard) != message.releases.end();
-    if (isRelease && (d->promisedTo == message.sender || d->claimant == message.sender)) {
-        d->promisedUntil = d->promisedTo == message.sender ? Time() : d->promisedUntil;
-        d->claimHeardAt = Time();
+    if (isRelease && (d->grantedTo == message.sender || d->claimant == message.sender)) {
+        d->grantedUntil = d->grantedTo == message.sender ? Time() : d->grantedUntil;
+        d->lastClaimAt = Time();
         d->claimant = NodeId();
-        d->otherOrdersFrom = Time::never();
+        d->otherHolderOrdersFrom = Time::never();
     }
     const auto claim =
         std::find_if(message.claims.begin(), message.claims.end(), [this](const LeaseClaim &entry) { return entry.shard == d->shard; });
     if (claim == message.claims.end()) {
         return std::nullopt;
     }
-    d->claimHeardAt = now;
+    d->lastClaimAt = now;
     d->claimant = message.sender;
-    d->otherOrdersFrom = now + claim->ordersIn;
+    d->otherHolderOrdersFrom = now + claim->ordersIn;
     d->greatestFence = std::max(d->greatestFence, claim->fence);
-    const bool isRenewal = d->promisedTo == message.sender && d->promisedIncarnation == message.incarnation && now < d->promisedUntil;
-    const bool isFree = now >= d->promisedUntil && !isHolder(now);
+    const bool isRenewal = d->grantedTo == message.sender && d->grantedIncarnation == message.incarnation && now < d->grantedUntil;
+    const bool isFree = now >= d->grantedUntil && !isHolder(now);
     if (d->isReleased || d->isStarting(now) || (!isRenewal && !isFree)) {
         return std::nullopt;
     }
-    d->promisedTo = message.sender;
-    d->promisedIncarnation = message.incarnation;
-    d->promisedUntil = now + d->limits.lease;
+    d->grantedTo = message.sender;
+    d->grantedIncarnation = message.incarnation;
+    d->grantedUntil = now + d->limits.leaseDuration;
     return LeaseGrant { d->shard, message.sender, message.incarnation, claim->sentAt, d->greatestFence };
 }
 
 std::optional<LeaseClaim> OrderLease::claim(bool isWilling, bool holdsOther, Time now, Time wall)
 {
     d->holdsOther = holdsOther;
-    d->forgetOld(now);
+    d->removeExpiredPeers(now);
     // A token that was made for an attempt long ago may lie below that of a holder in between. Voters tell theirs with each grant, and
     // every holder's majority has one of them; so what is known at this moment is above all that ordered before.
     if (d->fence && d->heldSince == Time::never() && d->greatestFence > *d->fence) {
         d->stopClaiming();
     }
     const bool isHeld = isHolder(now);
-    d->noteHeld(now);
+    d->updateHeldSince(now);
     // A lease that was lost for a moment may have been another's meanwhile: what follows is a new one, with its silence.
     if (!isHeld && d->heldSince != Time::never()) {
         d->stopClaiming();
     }
-    const bool isOtherClaiming = now - d->claimHeardAt < d->limits.lease + d->limits.liveness && d->claimHeardAt != Time();
-    const bool mayClaim = isWilling && !d->isReleased && !d->isStarting(now) && !d->hasPromisedOther(now);
-    if (!mayClaim || (!isHeld && (isOtherClaiming || !d->isFirstOfLive(now)))) {
+    const bool isPeerClaiming = now - d->lastClaimAt < d->limits.leaseDuration + d->limits.livenessTimeout && d->lastClaimAt != Time();
+    const bool mayClaim = isWilling && !d->isReleased && !d->isStarting(now) && !d->hasGrantedToOther(now);
+    if (!mayClaim || (!isHeld && (isPeerClaiming || !d->hasHighestPriority(now)))) {
         if (!isHeld) {
             d->stopClaiming();
         }
@@ -341,9 +342,9 @@
         d->greatestFence = std::max(d->greatestFence, *d->fence);
     }
     // A claimant has promised itself: it must not help another to a majority beside its own.
-    d->promisedTo = d->self;
-    d->promisedIncarnation = d->incarnation;
-    d->promisedUntil = now + d->limits.lease;
+    d->grantedTo = d->self;
+    d->grantedIncarnation = d->incarnation;
+    d->grantedUntil = now + d->limits.leaseDuration;
     return LeaseClaim { d->shard, *d->fence, d->ownOrdersIn(now), now };
 }
 
@@ -352,17 +353,17 @@
     if (mayOrder(now)) {
         return LastOrder { d->shard, Duration(0) };
     }
-    if (d->orderedAt == Time()) {
+    if (d->lastOrderedAt == Time()) {
         return std::nullopt;
     }
-    return LastOrder { d->shard, now - d->orderedAt };
+    return LastOrder { d->shard, now - d->lastOrderedAt };
 }
 
 void OrderLease::release()
 {
     d->isReleased = true;
     d->stopClaiming();
-    d->promisedUntil = Time();
+    d->grantedUntil = Time();
 }
 
 std::optional<FencingToken> OrderLease::mayOrder(Time now) const
@@ -372,7 +373,7 @@
     }
     // Noted here, since each order asks. Noted with the claims only, a node that began to order and left between two of them would tell its
     // follower that it never ordered.
-    d->orderedAt = now;
+    d->lastOrderedAt = now;
     return d->fence;
 }
 
@@ -383,11 +384,11 @@
 
 NodeId OrderLease::holder(Time now) const
 {
-    if (now < d->promisedUntil) {
-        return d->promisedTo;
+    if (now < d->grantedUntil) {
+        return d->grantedTo;
     }
     // A node that leaves or has just started promises nothing, but it hears who claims.
-    return d->claimHeardAt != Time() && now - d->claimHeardAt < d->limits.lease ? d->claimant : NodeId();
+    return d->lastClaimAt != Time() && now - d->lastClaimAt < d->limits.leaseDuration ? d->claimant : NodeId();
 }
 
 Duration OrderLease::ordersIn(Time now) const
@@ -397,9 +398,9 @@
     }
     // Without a holder: a claim, and the silence that follows.
     if (holder(now).isEmpty()) {
-        return d->limits.liveness + d->limits.handoverDelay + d->limits.margin;
+        return d->limits.livenessTimeout + d->limits.handoverDelay + d->limits.clockMargin;
     }
-    return std::max(d->otherOrdersFrom - now, Duration(0));
+    return std::max(d->otherHolderOrdersFrom - now, Duration(0));
 }
 
 bool OrderLease::reachesMajority(Time now) const
@@ -414,7 +415,7 @@
 
 int OrderLease::voterCount(Time now) const
 {
-    return static_cast<int>(d->counted(now).size()) + 1;
+    return static_cast<int>(d->voters(now).size()) + 1;
 }
 
 } // namespace ApricotStep
--- a/coordination/orderlease.h
+++ b/coordination/orderlease.h
@@ -24,24 +24,24 @@
 struct OrderLeaseLimits
 {
     /** How long a promise binds. */
-    Duration lease { 1200 };
+    Duration leaseDuration { 1200 };
     /** Taken off the holder's own view of its lease: what two steady clocks drift apart in that time, and a scheduling delay. */
-    Duration margin { 150 };
+    Duration clockMargin { 150 };
     /** Time between renewals. */
-    Duration renewal { 200 };
+    Duration renewalInterval { 200 };
     /** Orders of two holders must be further apart than this. */
     Duration handoverDelay { 3000 };
     /**
      * A node not heard of for so long no longer counts in the majority, as far as those see it who hear more than half of all. The other
      * side of a partition never forgets: else both sides would lead. A minute outlasts the restarts of a whole fleet.
      */
-    Duration memory = Duration::seconds(60);
+    Duration voterTimeout = Duration::seconds(60);
     /** A message that arrives later than this after the begin of a lease was sent after it: datagrams take a few milliseconds. */
-    Duration messageDelay { 300 };
+    Duration maxMessageDelay { 300 };
     /** A node that left counts for so long: it may be back behind a partition, where it gives its voice to the other side. */
-    Duration leaverMemory = Duration::seconds(15);
+    Duration leavingVoterTimeout = Duration::seconds(15);
     /** A node heard of within this may claim: three messages lost in a row, of one that does not say how often it speaks. */
-    Duration liveness { 900 };
+    Duration livenessTimeout { 900 };
 };
 
 /** Where a node stands towards the engines of a shard, by which nodes agree on the one that claims first. */
@@ -58,7 +58,8 @@
 class OrderLease
 {
 public:
-    OrderLease(OrderLeaseLimits limits, EngineShard shard, NodeId self, Incarnation incarnation, Time now, LeasePriority standing = {});
+    OrderLease(
+        OrderLeaseLimits limits, EngineShard shard, NodeId self, Incarnation incarnation, Time now, LeasePriority priorityInputs = {});
     OrderLease(OrderLease &&) noexcept;
     ~OrderLease();
 
--- a/tests/coordination/testorderlease.cpp
+++ b/tests/coordination/testorderlease.cpp
@@ -16,7 +16,7 @@
 {
 
 constexpr Duration Tick { 50 };
-constexpr Duration Turn { 3000 };
+constexpr Duration HandoverDelay { 3000 };
 
 struct Datagram
 {
@@ -120,9 +120,9 @@
         return {};
     }
     /** The first breach: orders of two holders within the turn, or a token that falls. Empty when there is none. */
-    const std::string &breach() const
+    const std::string &violation() const
     {
-        return m_breach;
+        return m_violation;
     }
     const OrderLease &lease(const std::string &id) const
     {
@@ -191,7 +191,7 @@
     void step(const std::string &id, FleetNode &node)
     {
         if (m_now >= node.nextHeartbeat) {
-            node.nextHeartbeat = m_now + OrderLeaseLimits {}.renewal;
+            node.nextHeartbeat = m_now + OrderLeaseLimits {}.renewalInterval;
             FleetMessage message = base(id);
             const auto claim = node.lease->claim(!node.isLeaving, false, m_now, m_now + Duration(1'700'000'000'000) + m_wallOffsets[id]);
             if (claim) {
@@ -200,16 +200,16 @@
             sendToAll(id, message);
         }
         if (const auto fence = node.lease->mayOrder(m_now)) {
-            note(id, *fence);
+            recordOrder(id, *fence);
         }
     }
-    void note(const std::string &id, FencingToken fence)
+    void recordOrder(const std::string &id, FencingToken fence)
     {
-        if (m_breach.empty() && !m_lastHolder.empty() && m_lastHolder != id && m_now - m_lastOrderAt < Turn) {
-            m_breach = id + " orders " + std::to_string((m_now - m_lastOrderAt).milliseconds()) + " ms after " + m_lastHolder;
+        if (m_violation.empty() && !m_lastHolder.empty() && m_lastHolder != id && m_now - m_lastOrderAt < HandoverDelay) {
+            m_violation = id + " orders " + std::to_string((m_now - m_lastOrderAt).milliseconds()) + " ms after " + m_lastHolder;
         }
-        if (m_breach.empty() && (fence < m_lastFence || (fence == m_lastFence && m_lastHolder != id))) {
-            m_breach = id + " orders under a token that is not above that of " + m_lastHolder;
+        if (m_violation.empty() && (fence < m_lastFence || (fence == m_lastFence && m_lastHolder != id))) {
+            m_violation = id + " orders under a token that is not above that of " + m_lastHolder;
         }
         m_lastHolder = id;
         m_lastFence = fence;
@@ -227,11 +227,11 @@
     std::string m_lastHolder;
     FencingToken m_lastFence;
     Time m_lastOrderAt;
-    std::string m_breach;
+    std::string m_violation;
 };
 
 /** The first breach in forty events drawn by @p seed; empty when there is none. */
-std::string breachOfHistory(std::uint64_t seed)
+std::string violationInRandomHistory(std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
     LeaseFleet fleet(5 + static_cast<int>(seed % 8), seed);
@@ -269,7 +269,7 @@
         }
         fleet.run(Duration(static_cast<std::int64_t>(random() % 1500)));
     }
-    return fleet.breach();
+    return fleet.violation();
 }
 
 } // namespace
@@ -285,7 +285,7 @@
         cr_assert_not(former.empty(), "seed %lu: nobody gives orders", seed);
         fleet.leave(former);
         fleet.run(Duration::seconds(6));
-        cr_assert(fleet.breach().empty(), "seed %lu: %s", seed, fleet.breach().c_str());
+        cr_assert(fleet.violation().empty(), "seed %lu: %s", seed, fleet.violation().c_str());
         cr_assert_not(fleet.holder().empty(), "seed %lu: nobody follows", seed);
         cr_assert_neq(fleet.holder(), former);
     }
@@ -306,7 +306,7 @@
             fleet.start(id);
         }
         fleet.run(Duration::seconds(8));
-        cr_assert(fleet.breach().empty(), "seed %lu: %s", seed, fleet.breach().c_str());
+        cr_assert(fleet.violation().empty(), "seed %lu: %s", seed, fleet.violation().c_str());
         cr_assert_not(fleet.holder().empty(), "seed %lu", seed);
     }
 }
@@ -325,7 +325,7 @@
             }
             fleet.run(Duration(500 + static_cast<std::int64_t>(random() % 6000)));
         }
-        cr_assert(fleet.breach().empty(), "seed %lu: %s", seed, fleet.breach().c_str());
+        cr_assert(fleet.violation().empty(), "seed %lu: %s", seed, fleet.violation().c_str());
     }
 }
 
@@ -340,7 +340,7 @@
         fleet.run(Duration(4000 + static_cast<std::int64_t>(seed) * 300));
         fleet.freeze(former, false);
         fleet.run(Duration::seconds(8));
-        cr_assert(fleet.breach().empty(), "seed %lu: %s", seed, fleet.breach().c_str());
+        cr_assert(fleet.violation().empty(), "seed %lu: %s", seed, fleet.violation().c_str());
         cr_assert_not(fleet.holder().empty(), "seed %lu", seed);
     }
 }
@@ -380,8 +380,8 @@
 Test(orderlease, anythingAtOnceNeverLetsTwoOrder)
 {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-        const std::string breach = breachOfHistory(seed);
-        cr_assert(breach.empty(), "seed %lu: %s", seed, breach.c_str());
+        const std::string violation = violationInRandomHistory(seed);
+        cr_assert(violation.empty(), "seed %lu: %s", seed, violation.c_str());
     }
 }
 
@@ -389,22 +389,22 @@
 // whole fleet and lead there, beside the holder on the other side. A user notices orders of two holders within seconds.
 Test(orderlease, nodesRestartedBehindAPartitionDoNotLead)
 {
-    const std::string breach = breachOfHistory(589);
-    cr_assert(breach.empty(), "seed 589: %s", breach.c_str());
+    const std::string violation = violationInRandomHistory(589);
+    cr_assert(violation.empty(), "seed 589: %s", violation.c_str());
 }
 
 // The holder is cut off, and a node that has just started wins the lease. It never heard of the former holder, so it takes the others' word
 // that they gave no orders for everybody's, and orders at once. A user notices orders of two holders within a second and a half.
 Test(orderlease, aNewcomerWaitsForAHolderThatItNeverHeardOf)
 {
-    const std::string breach = breachOfHistory(637);
-    cr_assert(breach.empty(), "seed 637: %s", breach.c_str());
+    const std::string violation = violationInRandomHistory(637);
+    cr_assert(violation.empty(), "seed 637: %s", violation.c_str());
 }
 
 // A node may order, does so, and is told to stop before it claims again. If it counts its orders by its claims, it tells its follower that
 // it gave none. A user notices orders of two holders within a second.
 Test(orderlease, aHolderThatLeavesAtOnceTellsOfItsOrder)
 {
-    const std::string breach = breachOfHistory(1263);
-    cr_assert(breach.empty(), "seed 1263: %s", breach.c_str());
+    const std::string violation = violationInRandomHistory(1263);
+    cr_assert(violation.empty(), "seed 1263: %s", violation.c_str());
 }
