--- a/coordination/storecallscheduler.cpp
+++ b/coordination/storecallscheduler.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-constexpr std::int64_t SpreadDivisor = 4;
+constexpr std::int64_t JitterDivisor = 4;
 // Upstreams write several times a second, and each call is paid for; what is a second old still serves the choice among them.
-constexpr Duration LongestPause { 1000 };
+constexpr Duration MaxPollDelay { 1000 };
 
 Duration share(Duration span, std::int64_t divisor)
 {
@@ -23,77 +23,77 @@
 {
     StoreCallLimits limits;
     limits.longPollTimeout = share(bound, 4);
-    limits.patience = share(bound, 8);
-    limits.repeatInterval = share(bound, 4);
-    limits.pollDelay = std::min(LongestPause, share(bound, 2));
-    limits.lostAfter = share(bound * 5, 8);
-    limits.longestRetry = share(bound, 4);
+    limits.hedgeDelay = share(bound, 8);
+    limits.hedgeInterval = share(bound, 4);
+    limits.pollDelay = std::min(MaxPollDelay, share(bound, 2));
+    limits.unresponsiveAfter = share(bound * 5, 8);
+    limits.maxRetryDelay = share(bound, 4);
     return limits;
 }
 
 StoreCallScheduler::StoreCallScheduler(StoreCallLimits limits, std::uint64_t seed)
     : m_limits(limits)
     , m_random(seed)
-    , m_retryPause(limits.firstRetry)
+    , m_retryDelay(limits.initialRetryDelay)
 {
 }
 
-Duration StoreCallScheduler::spread(Duration span)
+Duration StoreCallScheduler::jittered(Duration span)
 {
-    const std::int64_t most = share(span, SpreadDivisor).milliseconds();
+    const std::int64_t most = share(span, JitterDivisor).milliseconds();
     return span + Duration(std::uniform_int_distribution<std::int64_t>(-most, most)(m_random));
 }
 
-void StoreCallScheduler::ask(Duration held, Time now)
+void StoreCallScheduler::ask(Duration holdTime, Time now)
 {
-    m_isAsking = true;
-    m_open = 0;
-    m_isFirst = true;
-    m_held = held;
+    m_isQuerying = true;
+    m_openCalls = 0;
+    m_isFirstCall = true;
+    m_holdTime = holdTime;
     m_nextCallAt = now;
-    m_lastSignAt = now;
+    m_lastProgressAt = now;
 }
 
 StoreCallStep StoreCallScheduler::step(Time now)
 {
-    if (!m_isAsking) {
+    if (!m_isQuerying) {
         return StoreCallStep {};
     }
     if (now < m_nextCallAt) {
         return StoreCallStep { false, m_nextCallAt };
     }
-    ++m_open;
-    m_nextCallAt = now + (m_isFirst ? m_held + m_limits.patience : spread(m_limits.repeatInterval));
-    m_isFirst = false;
+    ++m_openCalls;
+    m_nextCallAt = now + (m_isFirstCall ? m_holdTime + m_limits.hedgeDelay : jittered(m_limits.hedgeInterval));
+    m_isFirstCall = false;
     return StoreCallStep { true, m_nextCallAt };
 }
 
 void StoreCallScheduler::onProgress(Time now)
 {
-    m_lastSignAt = now;
-    m_nextCallAt = std::max(m_nextCallAt, now + m_limits.repeatInterval);
+    m_lastProgressAt = now;
+    m_nextCallAt = std::max(m_nextCallAt, now + m_limits.hedgeInterval);
 }
 
 void StoreCallScheduler::onFailed(Time now)
 {
-    m_open -= m_open > 0 ? 1 : 0;
-    if (m_open > 0) {
+    m_openCalls -= m_openCalls > 0 ? 1 : 0;
+    if (m_openCalls > 0) {
         return;
     }
-    m_nextCallAt = std::min(m_nextCallAt, now + spread(m_retryPause));
-    m_retryPause = std::min(m_retryPause * 2, m_limits.longestRetry);
+    m_nextCallAt = std::min(m_nextCallAt, now + jittered(m_retryDelay));
+    m_retryDelay = std::min(m_retryDelay * 2, m_limits.maxRetryDelay);
 }
 
 void StoreCallScheduler::onAnswered()
 {
-    m_isAsking = false;
-    m_open = 0;
-    m_retryPause = m_limits.firstRetry;
+    m_isQuerying = false;
+    m_openCalls = 0;
+    m_retryDelay = m_limits.initialRetryDelay;
 }
 
 bool StoreCallScheduler::isOverdue(Time now) const
 {
-    return m_isAsking && now - m_lastSignAt >= m_held + m_limits.lostAfter;
+    return m_isQuerying && now - m_lastProgressAt >= m_holdTime + m_limits.unresponsiveAfter;
 }
 
 } // namespace ApricotStep
--- a/coordination/storecallscheduler.h
+++ b/coordination/storecallscheduler.h
@@ -21,16 +21,16 @@
     /** How long the store may hold a call until something changes. */
     Duration longPollTimeout;
     /** Beyond what the store may hold a call, before another one begins beside it. */
-    Duration patience;
+    Duration hedgeDelay;
     /** Between further calls. */
-    Duration repeatInterval;
+    Duration hedgeInterval;
     /** From one question to the next while the store answers: a change waits for so long at most. */
     Duration pollDelay;
     /** Without a sign of life for so long, the store counts as lost. */
-    Duration lostAfter;
-    /** After a call that failed at once; doubles up to longestRetry. */
-    Duration firstRetry { 100 };
-    Duration longestRetry;
+    Duration unresponsiveAfter;
+    /** After a call that failed at once; doubles up to maxRetryDelay. */
+    Duration initialRetryDelay { 100 };
+    Duration maxRetryDelay;
 
     /** For changes that have to be in force within @p bound. */
     static StoreCallLimits within(Duration bound);
@@ -52,8 +52,8 @@
     /** @p seed: nodes with different seeds do not ask in step. */
     StoreCallScheduler(StoreCallLimits limits, std::uint64_t seed);
 
-    /** A new question, which the store may hold for @p held; calls of an earlier one no longer count. */
-    void ask(Duration held, Time now);
+    /** A new question, which the store may hold for @p holdTime; calls of an earlier one no longer count. */
+    void ask(Duration holdTime, Time now);
     StoreCallStep step(Time now);
     /** A part of an answer came: nothing is repeated while it goes on. */
     void onProgress(Time now);
@@ -66,17 +66,17 @@
 
 private:
     /** @p span, longer or shorter by up to a quarter. */
-    Duration spread(Duration span);
+    Duration jittered(Duration span);
 
     StoreCallLimits m_limits;
     std::mt19937_64 m_random;
-    bool m_isAsking = false;
-    std::size_t m_open = 0;
-    bool m_isFirst = true;
-    Duration m_held;
+    bool m_isQuerying = false;
+    std::size_t m_openCalls = 0;
+    bool m_isFirstCall = true;
+    Duration m_holdTime;
     Time m_nextCallAt;
-    Time m_lastSignAt;
-    Duration m_retryPause;
+    Time m_lastProgressAt;
+    Duration m_retryDelay;
 };
 
 } // namespace ApricotStep
--- a/coordination/storereaderelection.cpp
+++ b/coordination/storereaderelection.cpp
@@ -13,37 +13,37 @@
 {
 }
 
-bool StoreReaderElection::isOneOfTheFirst(const std::vector<StorePeer> &neighbours) const
+bool StoreReaderElection::isElectedReader(const std::vector<StorePeer> &peers) const
 {
     const auto isBefore = [this](const StorePeer &other) {
         return !other.isLeaving && (other.capacity > m_capacity || (other.capacity == m_capacity && other.id < m_self));
     };
-    return static_cast<std::size_t>(std::count_if(neighbours.begin(), neighbours.end(), isBefore)) < m_limits.readers;
+    return static_cast<std::size_t>(std::count_if(peers.begin(), peers.end(), isBefore)) < m_limits.readers;
 }
 
 StoreReaderDecision StoreReaderElection::decide(
-    bool isDivided, bool isCurrent, std::uint64_t revision, const std::vector<StorePeer> &neighbours, Time now)
+    bool isDivided, bool isCurrent, std::uint64_t revision, const std::vector<StorePeer> &peers, Time now)
 {
     // A node whose own last call failed goes on until the store answers it: only so does it know that the store was away.
-    if (!isDivided || !isCurrent || now < m_distrustUntil || isOneOfTheFirst(neighbours)) {
+    if (!isDivided || !isCurrent || now < m_directReadUntil || isElectedReader(peers)) {
         return StoreReaderDecision { true, NodeId() };
     }
-    const StorePeer *furthest = nullptr;
-    for (const StorePeer &neighbour : neighbours) {
-        if (neighbour.isReading && (furthest == nullptr || neighbour.revision > furthest->revision)) {
-            furthest = &neighbour;
+    const StorePeer *mostRecent = nullptr;
+    for (const StorePeer &peer : peers) {
+        if (peer.isReading && (mostRecent == nullptr || peer.revision > mostRecent->revision)) {
+            mostRecent = &peer;
         }
     }
-    if (furthest == nullptr) {
+    if (mostRecent == nullptr) {
         return StoreReaderDecision { true, NodeId() };
     }
-    const bool isDue = furthest->revision > revision && now - m_fetchedAt >= m_limits.fetchInterval;
-    return StoreReaderDecision { false, isDue ? furthest->id : NodeId() };
+    const bool isDue = mostRecent->revision > revision && now - m_fetchedAt >= m_limits.fetchInterval;
+    return StoreReaderDecision { false, isDue ? mostRecent->id : NodeId() };
 }
 
 void StoreReaderElection::onFetchFailed(Time now)
 {
-    m_distrustUntil = now + m_limits.distrust;
+    m_directReadUntil = now + m_limits.directReadPeriod;
 }
 
 void StoreReaderElection::onFetched(Time now)
--- a/coordination/storereaderelection.h
+++ b/coordination/storereaderelection.h
@@ -20,7 +20,7 @@
 {
     std::size_t readers = 2;
     /** After a reader did not hand over what changed. */
-    Duration distrust = Duration::seconds(3);
+    Duration directReadPeriod = Duration::seconds(3);
     /** Between two fetches: what changed meanwhile comes together. */
     Duration fetchInterval { 400 };
 };
@@ -54,19 +54,19 @@
 
     /**
      * @p isDivided: the fleet is large. @p isCurrent: this node has read the whole store once, and its last call was answered.
-     * @p neighbours: those that are alive. @p revision: how far this node has read or fetched.
+     * @p peers: those that are alive. @p revision: how far this node has read or fetched.
      */
-    StoreReaderDecision decide(bool isDivided, bool isCurrent, std::uint64_t revision, const std::vector<StorePeer> &neighbours, Time now);
+    StoreReaderDecision decide(bool isDivided, bool isCurrent, std::uint64_t revision, const std::vector<StorePeer> &peers, Time now);
     void onFetchFailed(Time now);
     void onFetched(Time now);
 
 private:
-    bool isOneOfTheFirst(const std::vector<StorePeer> &neighbours) const;
+    bool isElectedReader(const std::vector<StorePeer> &peers) const;
 
     StoreReaderLimits m_limits;
     NodeId m_self;
     double m_capacity;
-    Time m_distrustUntil;
+    Time m_directReadUntil;
     Time m_fetchedAt;
 };
 
--- a/tests/coordination/teststorecallscheduler.cpp
+++ b/tests/coordination/teststorecallscheduler.cpp
@@ -17,25 +17,25 @@
 /** A store that answers after @p latency, and never what is asked while it is silent. */
 struct Store
 {
-    Time silentFrom;
-    Time silentUntil;
+    Time unresponsiveFrom;
+    Time unresponsiveUntil;
     Duration latency;
 
     /** When a call that is begun at @p now is answered. */
-    Time answersAt(Time now) const
+    Time replyTime(Time now) const
     {
-        return now >= silentFrom && now < silentUntil ? Time::never() : now + latency;
+        return now >= unresponsiveFrom && now < unresponsiveUntil ? Time::never() : now + latency;
     }
 };
 
 /** One node at @p store, by steps of a millisecond: when it is answered for the first time from @p since on; never within @p limit. */
-Time firstAnswer(const Store &store, std::uint64_t seed, Time asksAt, Time since, Time limit)
+Time firstReplyTime(const Store &store, std::uint64_t seed, Time queryAt, Time since, Time limit)
 {
     const StoreCallLimits limits = StoreCallLimits::within(Bound);
     StoreCallScheduler node(limits, seed);
     std::vector<Time> open;
-    node.ask(limits.longPollTimeout, asksAt);
-    for (Time now = asksAt; now < limit; now = now + Duration(1)) {
+    node.ask(limits.longPollTimeout, queryAt);
+    for (Time now = queryAt; now < limit; now = now + Duration(1)) {
         const bool isAnswered = std::any_of(open.begin(), open.end(), [now](Time at) { return at <= now; });
         if (isAnswered && now >= since) {
             return now;
@@ -46,7 +46,7 @@
             node.ask(limits.longPollTimeout, now);
         }
         if (node.step(now).isCallDue) {
-            open.push_back(store.answersAt(now));
+            open.push_back(store.replyTime(now));
         }
     }
     return Time::never();
@@ -57,12 +57,12 @@
 // Guards against a fleet that stays deaf after the store's return because all of its calls were begun just before.
 Test(storecalls, theReturnOfASilentStoreIsNoticedWithinHalfTheBound)
 {
-    const Time silentFrom = Start + Duration(100);
-    for (int silence = 200; silence < 9'000; silence += 37) {
-        const Store store { silentFrom, silentFrom + Duration(silence), Duration(4) };
+    const Time unresponsiveFrom = Start + Duration(100);
+    for (int outage = 200; outage < 9'000; outage += 37) {
+        const Store store { unresponsiveFrom, unresponsiveFrom + Duration(outage), Duration(4) };
         for (std::uint64_t node = 0; node < 12; ++node) {
-            const Time heard = firstAnswer(store, node, silentFrom, store.silentUntil, store.silentUntil + Bound);
-            cr_assert(heard - store.silentUntil <= Duration(Bound.milliseconds() / 2), "silent for %d ms", silence);
+            const Time firstReply = firstReplyTime(store, node, unresponsiveFrom, store.unresponsiveUntil, store.unresponsiveUntil + Bound);
+            cr_assert(firstReply - store.unresponsiveUntil <= Duration(Bound.milliseconds() / 2), "silent for %d ms", outage);
         }
     }
 }
@@ -71,8 +71,8 @@
 Test(storecalls, aSlowStoreIsStillHeard)
 {
     const Store store { Time::never(), Time::never(), Duration(1400) };
-    const Time heard = firstAnswer(store, 1, Start, Start, Start + Duration(5000));
-    cr_assert_eq((heard - Start).milliseconds(), 1400);
+    const Time firstReply = firstReplyTime(store, 1, Start, Start, Start + Duration(5000));
+    cr_assert_eq((firstReply - Start).milliseconds(), 1400);
 }
 
 // Guards against a large answer over a narrow link that is fetched several times at once, so that none of them comes through.
@@ -115,7 +115,7 @@
     StoreCallScheduler node(limits, 1);
     node.ask(limits.longPollTimeout, Start);
     cr_assert(node.step(Start).isCallDue);
-    cr_assert_not(node.isOverdue(Start + limits.longPollTimeout + limits.patience));
+    cr_assert_not(node.isOverdue(Start + limits.longPollTimeout + limits.hedgeDelay));
     cr_assert(node.isOverdue(Start + Bound));
     node.onAnswered();
     cr_assert_not(node.isOverdue(Start + Bound));
@@ -125,6 +125,6 @@
 Test(storecalls, aTighterBoundShortensThePauses)
 {
     const StoreCallLimits limits = StoreCallLimits::within(Duration(600));
-    cr_assert(limits.pollDelay + limits.longPollTimeout + limits.patience <= Duration(600));
+    cr_assert(limits.pollDelay + limits.longPollTimeout + limits.hedgeDelay <= Duration(600));
     cr_assert(StoreCallLimits::within(Bound).pollDelay <= Duration(Bound.milliseconds() / 2));
 }
--- a/tests/coordination/teststorereaderelection.cpp
+++ b/tests/coordination/teststorereaderelection.cpp
@@ -12,7 +12,7 @@
 
 constexpr Time Start { 10'000 };
 
-std::vector<StorePeer> neighbours(int count, double capacity, std::uint64_t revision, bool areReading)
+std::vector<StorePeer> peers(int count, double capacity, std::uint64_t revision, bool areReading)
 {
     std::vector<StorePeer> result;
     for (int i = 0; i < count; ++i) {
@@ -27,10 +27,10 @@
 Test(storeturns, aFewReadAndTheOthersFollow)
 {
     StoreReaderElection small(StoreReaderLimits {}, NodeId("z"), 0.1);
-    const auto others = neighbours(30, 0.1, 50, true);
+    const auto others = peers(30, 0.1, 50, true);
     cr_assert(small.decide(false, true, 40, others, Start).readsItself);
-    const StoreReaderDecision turn = small.decide(true, true, 40, others, Start);
-    cr_assert(!turn.readsItself && !turn.fetchFrom.isEmpty());
+    const StoreReaderDecision decision = small.decide(true, true, 40, others, Start);
+    cr_assert(!decision.readsItself && !decision.fetchFrom.isEmpty());
     cr_assert(small.decide(true, true, 50, others, Start).fetchFrom.isEmpty());
     // The largest nodes read.
     StoreReaderElection large(StoreReaderLimits {}, NodeId("z"), 0.5);
@@ -41,28 +41,28 @@
 // configuration that is no longer in force.
 Test(storeturns, withoutAReaderThatIsAnsweredEachReads)
 {
-    StoreReaderElection turns(StoreReaderLimits {}, NodeId("z"), 0.1);
-    cr_assert(turns.decide(true, true, 40, neighbours(30, 0.1, 50, false), Start).readsItself);
-    cr_assert(turns.decide(true, true, 40, {}, Start).readsItself);
-    auto leaving = neighbours(2, 0.1, 50, false);
+    StoreReaderElection election(StoreReaderLimits {}, NodeId("z"), 0.1);
+    cr_assert(election.decide(true, true, 40, peers(30, 0.1, 50, false), Start).readsItself);
+    cr_assert(election.decide(true, true, 40, {}, Start).readsItself);
+    auto leaving = peers(2, 0.1, 50, false);
     leaving[0].isLeaving = true;
-    cr_assert(turns.decide(true, true, 40, leaving, Start).readsItself);
+    cr_assert(election.decide(true, true, 40, leaving, Start).readsItself);
 }
 
 // A reader lives but does not hand over what it read. The follower does not ask it again and again: it reads for a while, then tries.
 Test(storeturns, aFailedFetchMakesANodeReadForAWhile)
 {
-    StoreReaderElection turns(StoreReaderLimits {}, NodeId("z"), 0.1);
-    const auto others = neighbours(5, 0.1, 50, true);
-    turns.onFetchFailed(Start);
-    cr_assert(turns.decide(true, true, 40, others, Start + Duration(2900)).readsItself);
-    cr_assert_not(turns.decide(true, true, 40, others, Start + Duration(3000)).readsItself);
+    StoreReaderElection election(StoreReaderLimits {}, NodeId("z"), 0.1);
+    const auto others = peers(5, 0.1, 50, true);
+    election.onFetchFailed(Start);
+    cr_assert(election.decide(true, true, 40, others, Start + Duration(2900)).readsItself);
+    cr_assert_not(election.decide(true, true, 40, others, Start + Duration(3000)).readsItself);
 }
 
 // The store was away and this node's own call has not been answered since. Only when it is answered itself does the node know that missing
 // entries may come back; one that followed others at once would drop upstreams that live.
 Test(storeturns, aNodeThatLostTheStoreGoesOnUntilItAnswers)
 {
-    StoreReaderElection turns(StoreReaderLimits {}, NodeId("z"), 0.1);
-    cr_assert(turns.decide(true, false, 40, neighbours(5, 0.1, 50, true), Start).readsItself);
+    StoreReaderElection election(StoreReaderLimits {}, NodeId("z"), 0.1);
+    cr_assert(election.decide(true, false, 40, peers(5, 0.1, 50, true), Start).readsItself);
 }
