--- a/coordination/configassembler.cpp
+++ b/coordination/configassembler.cpp
@@ -6,9 +6,9 @@
 namespace
 {
 
-// A node that was away for longer takes the base: at 300 B a change this many weigh less than a tenth of one page.
+// A node that is further behind starts from the base. At 300 bytes each, this many changes take less than a tenth of one page.
 constexpr std::size_t MaxChangesBehind = 256;
-// Ends a walk through a history that never meets its base.
+// Bounds the walk through a history that never reaches its base.
 constexpr std::size_t MaxChainLength = 4096;
 
 } // namespace
@@ -46,7 +46,8 @@
         return readBase();
     }
     if (wanted.empty() || m_deltas.size() >= MaxChainLength) {
-        return failed("the changes from the base " + std::to_string(m_head.baseVersion.value()) + " on are not complete");
+        return failed(
+            "the chain of changes back to base version " + std::to_string(m_head.baseVersion.value()) + " is incomplete or too long");
     }
     return MissingValue { ConfigValueKind::Delta, wanted };
 }
@@ -60,7 +61,7 @@
         return MissingValue { ConfigValueKind::Page, m_base->pages[m_pages.size()] };
     }
     if (m_base->version != m_head.baseVersion) {
-        return failed("the base is of another version than the head says");
+        return failed("the base has another version than the head states");
     }
     CatalogContent content;
     content.version = m_base->version;
@@ -82,7 +83,7 @@
     std::shared_ptr<const Catalog> base = start->version() == m_head.baseVersion ? start : nullptr;
     for (auto delta = m_deltas.rbegin(); delta != m_deltas.rend() && !m_isBaseOnly; ++delta) {
         if (delta->change.version <= start->version()) {
-            continue; // A change that the base holds already.
+            continue; // The base already contains this change.
         }
         auto following = start->apply(delta->change);
         if (!following.isOk()) {
@@ -92,7 +93,7 @@
         base = start->version() == m_head.baseVersion ? start : base;
     }
     if (!m_isBaseOnly && start->version() != m_head.version) {
-        return failed("the changes lead to version " + std::to_string(start->version().value()) + " and not to the head's");
+        return failed("the changes lead to version " + std::to_string(start->version().value()) + " instead of the head's version");
     }
     return { std::move(start), std::move(base), m_isForked, m_isBaseOnly };
 }
--- a/coordination/configassembler.h
+++ b/coordination/configassembler.h
@@ -12,40 +12,43 @@
 namespace ApricotStep
 {
 
-/** A value that a ConfigAssembler lacks. */
+/** A value that a ConfigAssembler still needs. */
 struct MissingValue
 {
     ConfigValueKind kind = ConfigValueKind::Delta;
     std::string hash;
 };
 
-/** The job's end: the snapshot of its head's version, or the reason why the head cannot be taken. */
+/** Result of a ConfigAssembler: the catalog at the head's version, or the error that prevents its use. */
 struct AssemblyResult
 {
     Result<std::shared_ptr<const Catalog>> catalog;
-    /** As ActivateConfig::base. */
+    /** See ActivateConfig::base. */
     std::shared_ptr<const Catalog> base;
-    /** The head's history does not contain the version that was in force. */
+    /** The head's history does not contain the version that was active. */
     bool isForked = false;
-    /** Only the base could be had; the changes after it are missing. */
+    /** The catalog is at the base's version, because a later change could not be fetched. */
     bool isBaseOnly = false;
 };
 
 /**
- * The way from what is in force to one head: it names the values it lacks one after the other and then builds the snapshot. Walks back
- * from the newest change to the version in force; where that is too far or not on the way, it starts from the base.
+ * Assembles the catalog of one configuration head. It names the missing values one at a time and then builds the snapshot. Follows the
+ * chain of changes back from the newest one to the active version; if that is too far away or not on the chain, it starts from the base.
  */
 class ConfigAssembler
 {
 public:
-    /** @p current may be null; @p currentDelta is the hash of the change that led to it, empty when that is not known. */
+    /** @p current may be null. @p currentDelta is the hash of the change that led to it; empty if unknown. */
     ConfigAssembler(ConfigHead head, std::shared_ptr<const Catalog> current, std::string currentDelta);
 
     const ConfigHead &head() const;
     std::variant<MissingValue, AssemblyResult> next();
-    /** The value that next() asked for. */
+    /** Adds the value that next() requested. */
     void addValue(ConfigValue value);
-    /** The change that next() asked for is nowhere to be had: goes for the base alone. False when that would not lead forward. */
+    /**
+     * Falls back to the base because the change that next() requested cannot be fetched. Returns false if this was done before or if the
+     * base is not newer than the active version.
+     */
     bool fallBackToBase();
 
 private:
--- a/coordination/configsync.cpp
+++ b/coordination/configsync.cpp
@@ -15,17 +15,18 @@
 {
 
 constexpr std::size_t MaxStartQueries = 5;
-// The source that named a version, another peer, the service, and once more around before a value counts as nowhere to be had.
+// Attempts per value, alternating between peers and the service, before it counts as unavailable.
 constexpr int MaxAttempts = 6;
 constexpr Duration ReadTimeout { 2000 };
 constexpr Duration WatchSlack { 1000 };
-// A watch that ends without news this much before its time was not waited for.
+// A watch that returns no newer version this much before its time is over was not held by the service.
 constexpr Duration EarlyReplyMargin { 500 };
 constexpr int MaxDoublings = 16;
 constexpr std::string_view WatchKey = "config-watch";
-// The three nodes that the rumours name would each send a change to a third of the fleet: 120 KB at 400 nodes, for the one node that
-// reaches the service 350 KB. So each node fetches from its parent in a tree over the live nodes that the version's number orders, and
-// sends to four at most. A level waits for the one above it: some gossip rounds less than its members differ in hearing of the version.
+// Gossip names up to three holders of a version. If all nodes fetched from these, each would send a change to a third of the fleet: 120 KB
+// at 400 nodes, and 350 KB from a single node that reaches the service. Therefore each node fetches from its parent in a tree over the live
+// nodes, whose order is derived from the version number, and sends to four others at most. Each level waits for the one above it. The wait
+// is some gossip rounds shorter than the differences between the times at which members learn of the version; retries cover the rest.
 constexpr std::size_t TreeArity = 4;
 constexpr Duration TreeLevelWait { 200 };
 constexpr int TreeAttempts = 3;
@@ -43,7 +44,7 @@
     Time notBefore;
 };
 
-// A head that waits: for the peers at a start, or for the rumours after a poll.
+// A head whose adoption is deferred: at startup until the peers have responded, after a poll until gossip has had time to announce it.
 struct DeferredHead
 {
     ConfigHead head;
@@ -206,7 +207,7 @@
     const bool wasElectedWatcher = isElectedWatcher;
     isElectedWatcher = higherRanked < settings.watchersPerZone;
     if (isElectedWatcher && !wasElectedWatcher) {
-        nextServiceRead = now; // Takes over from a watcher that is gone without waiting for the next poll.
+        nextServiceRead = now; // Replaces a failed watcher at once instead of at the next poll.
     }
     absl::erase_if(announcedVersions, [&](const auto &entry) {
         return std::none_of(others.begin(), others.end(), [&](const NodeView &node) { return node.id == entry.first; });
@@ -247,7 +248,7 @@
     const auto *head = value.isOk() ? std::get_if<ConfigHead>(&value.value()) : nullptr;
     if (head == nullptr) {
         if (!value.isOk() && value.error().kind == ErrorKind::ConfigInvalid && unreadableDetail != value.error().detail) {
-            unreadableDetail = value.error().detail; // Reported once, not at each read.
+            unreadableDetail = value.error().detail; // Reported once instead of on every read.
             report(ConfigProblem::Refused, {}, value.error().detail);
         }
         nextServiceRead = now + backoff(serviceFailures++);
@@ -257,7 +258,7 @@
     const bool isNew = isAcceptable(*head);
     nextServiceRead = now + delayAfterServiceRead(isNew);
     if (head->version < version()) {
-        report(ConfigProblem::Stale, head->version, "the service handed out an old version");
+        report(ConfigProblem::Stale, head->version, "the service returned an old version");
     }
     if (!isNew) {
         return;
@@ -271,8 +272,8 @@
     }
 }
 
-// A stale replica, or one that hands out a refused version, answers each watch at once: without a pause its readers would spend the
-// service's whole rate on it.
+// A stale replica, or one that returns a refused version, answers each watch at once. Without a delay its readers would use up the call
+// rate of the service.
 Duration ConfigSync::Private::delayAfterServiceRead(bool isNew)
 {
     if (isServiceReadWatch && (isNew || now - serviceReadStarted >= settings.watch - EarlyReplyMargin)) {
@@ -300,7 +301,7 @@
         if (scheduleTreeRetry(value)) {
             return;
         }
-        announcedVersions.erase(peerReadFrom); // What it told no longer holds; the next rumour or poll brings the version again.
+        announcedVersions.erase(peerReadFrom); // Its announcement no longer holds; the next rumour or poll reports the version again.
         nextPeerRead = now + backoff(peerFailures++);
         return;
     }
@@ -312,7 +313,8 @@
     }
 }
 
-// A parent that has not got the version yet is asked again; a node that it cannot have from its parent goes to a holder.
+// Handles a failed fetch from the tree parent. A parent that does not have the version yet is queried up to TreeAttempts times; after that,
+// or if the parent is unreachable, the node fetches from a holder. Returns false if the fetch was not from the parent.
 bool ConfigSync::Private::scheduleTreeRetry(const Result<ConfigValue> &value)
 {
     if (treeParent != peerReadFrom) {
@@ -326,14 +328,14 @@
     return true;
 }
 
-// Two operators who publish at the same time both go up from the same version. Whichever reached this node first is in force, and a
-// second one of that version would change what requests resolve to without a new version.
+// Whether @p head may be adopted. Reports a conflicting head: two operators who publish at the same time both build on the same version.
+// The head that reached this node first stays active, since replacing it would change how requests resolve without a new version.
 bool ConfigSync::Private::isAcceptable(const ConfigHead &head)
 {
     if (catalog != nullptr && head.version == version() && !activeHead.hash.empty() && head.hash != activeHead.hash
         && head.hash != conflictHash) {
         conflictHash = head.hash;
-        report(ConfigProblem::Conflict, head.version, "a second, different head of the version in force; publish a new version");
+        report(ConfigProblem::Conflict, head.version, "a second, different head of the active version; publish a new version");
     }
     return head.version > version() && head.hash != refusedHash;
 }
@@ -344,7 +346,7 @@
         conflictHash = head.hash;
         report(ConfigProblem::Conflict, head.version, "the service and a node have different heads of one version; publish a new version");
     }
-    // Of equal ones a node's is kept: it is in force somewhere.
+    // Of equal versions a peer's head is preferred, since it is active there.
     const bool isBetter = !deferredHead || deferredHead->head.version < head.version
         || (deferredHead->head.version == head.version && source && !deferredHead->source);
     if (isBetter) {
@@ -378,7 +380,7 @@
     adoption->fetch = fetch(adoption->source, adoption->wanted.kind, adoption->wanted.hash, Duration(0));
 }
 
-// Peers and the service in turn: either side may be the one that is out of reach.
+// Alternates between peers and the service, since either may be unreachable.
 Source ConfigSync::Private::nextSource()
 {
     if (others.empty() || adoption->source) {
@@ -413,7 +415,7 @@
         return;
     }
     adoption->source = nextSource();
-    // The first other source is asked at once, since most often one node is gone and the next one answers.
+    // The first retry is immediate: usually a single node has failed and the next source responds.
     adoption->notBefore = adoption->attempts == 1 ? now : now + backoff(adoption->attempts - 2);
 }
 
@@ -421,11 +423,11 @@
 {
     const ConfigVersion wanted = adoption->assembler.head().version;
     if (adoption->wanted.kind == ConfigValueKind::Delta && adoption->assembler.fallBackToBase()) {
-        report(ConfigProblem::Gap, wanted, "a change is nowhere to be had; going for the base alone");
+        report(ConfigProblem::Gap, wanted, "a change could not be fetched from any source; falling back to the base");
         stepAdoption();
         return;
     }
-    report(ConfigProblem::Gap, wanted, "a value is nowhere to be had; trying again later");
+    report(ConfigProblem::Gap, wanted, "a value could not be fetched from any source; retrying later");
     adoption.reset();
     announcedVersions.clear();
     nextServiceRead = std::max(nextServiceRead, now + jittered(settings.minPoll));
@@ -470,7 +472,7 @@
         }
     }
     std::shuffle(candidates.begin(), candidates.end(), random);
-    // A node that told of a version is asked first.
+    // Peers that announced a version are queried first.
     std::stable_sort(candidates.begin(), candidates.end(),
         [&](const NodeId &a, const NodeId &b) { return announcedVersions.contains(a) && !announcedVersions.contains(b); });
     for (const NodeId &id : candidates) {
@@ -482,9 +484,9 @@
     }
 }
 
-// A service that went back to an old copy looks like any other to a node that knows nothing, and a fleet that restarts behind it would
-// undo accepted changes. The peers know better, so a node is not ready before it has asked them; the wait is bounded, since a node that
-// nobody answers must start too.
+// A starting node cannot tell whether the service has reverted to an old copy, and a fleet that restarts with such a service would undo
+// accepted changes. Peers may know newer versions, so a node queries them before it becomes ready. The wait is bounded, since a node must
+// also start if no peer responds.
 void ConfigSync::Private::finishStart()
 {
     if (hasFinishedStart) {
@@ -518,7 +520,7 @@
         return;
     }
     if (catalog != nullptr) {
-        // The rumours did not bring what the service has: those who watch it cannot reach it, and this node can.
+        // Gossip did not announce the service's version: its watchers cannot reach the service, and this node can.
         substituteWatchUntil = now + settings.substituteWatchDuration;
     }
     adopt(due.head, due.source);
@@ -526,7 +528,7 @@
 
 void ConfigSync::Private::readService()
 {
-    // During an adoption a watch would come back at once with the head that is being adopted.
+    // During an adoption a watch would return at once with the head that is being adopted.
     if (serviceRead || adoption || now < nextServiceRead) {
         return;
     }
@@ -552,7 +554,7 @@
     }
     const std::size_t rank = above.size();
     if (rank < TreeArity) {
-        return; // The top of the tree: fetches from a holder.
+        return; // Top of the tree: fetches from a holder.
     }
     const auto parent = above.begin() + static_cast<std::ptrdiff_t>(rank / TreeArity - 1);
     std::nth_element(above.begin(), parent, above.end(), [](const auto &a, const auto &b) { return a.first > b.first; });
--- a/coordination/configsync.h
+++ b/coordination/configsync.h
@@ -16,30 +16,46 @@
 namespace ApricotStep
 {
 
-// Load pattern: the configuration service allows about 2,000 calls a second over all readers, a waiting watch included, while 11,000
-// changes a day must reach 400 nodes in 5 s each. If every node watched, calls would grow with the fleet (400 waiting, and 400 reads of
-// head and change at once on each publish), and a node behind a dead service would stay behind. So few nodes of each availability zone
-// watch, the others learn of a version by rumour and fetch it from the node that told them. Grounds for the figures stand with them.
+// Keeps the configuration of all nodes up to date while only some of them watch the configuration service. The service allows about 2,000
+// calls a second over all readers, waiting watches included, while 11,000 changes a day must each reach 400 nodes within 5 s. If every node
+// watched, the calls would grow with the fleet (400 waiting watches, and 400 simultaneous reads of head and change on each publication),
+// and nodes would get no updates while the service does not respond. Therefore a few nodes of each availability zone watch the service; the
+// others learn of a version by gossip and fetch it from peers. The reasons for the constants are given with them.
 
 struct ConfigSyncSettings
 {
     NodeId self;
     ZoneId zone;
-    /** Nodes of a zone that watch the service: two, so that the loss of one delays nothing. */
+    /** Nodes per zone that watch the service. With two, the loss of one delays no update. */
     int watchersPerZone = 2;
-    /** How long one watch waits. A watch whose answer is lost keeps its node deaf for this and the slack, so both leave room in the 5 s. */
+    /**
+     * Duration of one watch (long poll). If its response is lost, the node gets no update from the service for this time plus WatchSlack,
+     * so the sum must stay well below the 5 s bound.
+     */
     Duration watch { 1500 };
-    /** Longest wait of a starting node for its peers' versions: more than a lost message and its repeat, less than a start may take. */
+    /**
+     * Longest wait of a starting node for its peers' versions: longer than a lost message and its retry, shorter than the time allowed for
+     * a start.
+     */
     Duration startTimeout = Duration::seconds(5);
-    /** A node that does not watch reads the head this often times the number of nodes, so that all together read 50 times a second. */
+    /**
+     * A node that does not watch reads the head at an interval of this times the number of nodes, so that all nodes together read 50 times
+     * a second.
+     */
     Duration pollPerNode = Duration(20);
     Duration minPoll = Duration::seconds(2);
     Duration maxPoll = Duration::seconds(60);
-    /** A version found by polling is left to the rumours for this long: they take 1.6 s at most at 400 nodes. */
+    /** How long a node that found a version by polling waits for gossip to announce it, which takes at most 1.6 s with 400 nodes. */
     Duration gossipGracePeriod = Duration::seconds(2);
-    /** How long a node whose poll beat the rumours watches the service in place of watchers that cannot reach it. */
+    /**
+     * How long a node watches the service after its poll found a version that gossip did not announce in time, since the regular watchers
+     * then cannot reach the service.
+     */
     Duration substituteWatchDuration = Duration::seconds(300);
-    /** Waits after failures: doubled from the first to the last, and scattered by half so that nodes do not come back together. */
+    /**
+     * Retry delays after failures: doubled from the initial to the maximum one, with a jitter of half the delay so that nodes that failed
+     * together do not retry together.
+     */
     Duration initialBackoff = Duration(100);
     Duration maxBackoff { 1000 };
     std::uint64_t seed = 1;
@@ -53,68 +69,72 @@
     std::vector<NodeView> nodes;
 };
 
-/** Another node has a version in force. */
+/** Another node has activated a version. */
 struct VersionAnnounced
 {
     ConfigFact fact;
 };
 
-/** The end of a FetchValue. NotFound: the holder has no such value. ConfigInvalid: it came as named but cannot be read. */
+/**
+ * Result of a FetchValue. NotFound: the source does not have the value. ConfigInvalid: the value has the requested hash but cannot be
+ * parsed.
+ */
 struct ValueFetched
 {
     FetchId id = 0;
     Result<ConfigValue> value;
 };
 
-/** Lets time pass; every 20 to 100 ms. */
+/** Periodic timer event, every 20 to 100 ms. */
 struct ConfigTick
 {
 };
 
 using ConfigEvent = std::variant<PeersChanged, VersionAnnounced, ValueFetched, ConfigTick>;
 
-/** Fetch a value and report the end as ValueFetched. */
+/** Fetch a value and report the result as ValueFetched. */
 struct FetchValue
 {
     FetchId id = 0;
-    /** The node to ask; unset for the configuration service. */
+    /** The peer to fetch from; unset for the configuration service. */
     std::optional<NodeId> peer;
     ConfigValueKind kind = ConfigValueKind::Head;
     /** Empty for the head. */
     std::string hash;
-    /** More than zero for a watch: the service answers with the head once it is newer than @p after, or when the wait is over. */
+    /**
+     * Greater than zero for a watch: the service responds with the head as soon as it is newer than @p after, or when this time is over.
+     */
     Duration wait;
     ConfigVersion after;
-    /** When to give up. */
     Duration timeout;
 };
 
-/** Let every request from now on resolve in this snapshot, tell the other nodes, and hand its values to who asks. */
+/** Resolve all further requests with this catalog, announce its version to the other nodes and serve its values to peers. */
 struct ActivateConfig
 {
     std::shared_ptr<const Catalog> catalog;
-    /** Its hash is empty when only the base of the head could be had. */
+    /** Its hash is empty if only the head's base could be fetched. */
     ConfigHead head;
-    /** The snapshot of the head's base version where the way to the head led through it; its pages can be worked out from it. */
+    /** The catalog of the head's base version, if it was built on the way to the head; the base's pages can be derived from it. */
     std::shared_ptr<const Catalog> base;
 };
 
 enum class ConfigProblem {
-    /** The version is invalid; the one before stays in force. */
+    /** The version is invalid; the previous one stays active. */
     Refused,
-    /** A second, different head of the version in force. */
+    /** Two different heads of one version exist. */
     Conflict,
-    /** The new version does not descend from the one in force; it was taken whole from its base. */
+    /** The new version does not descend from the active one; it was rebuilt from its base. */
     Forked,
-    /** The service handed out a version older than the one in force. */
+    /** The service returned a version older than the active one. */
     Stale,
-    /** A value came with other content than its hash says. */
+    /** The content of a value does not match its hash. */
     Corrupted,
-    /** A change between the base and the head is nowhere to be had. */
+    /** A value that is needed for the head could not be fetched from any source. */
     Gap,
 };
 
-/** Tell the operator. */
+/** Report a problem with a version to the operator. */
 struct ReportConfigProblem
 {
     ConfigProblem problem = ConfigProblem::Refused;
@@ -125,8 +145,8 @@
 using ConfigAction = std::variant<FetchValue, ActivateConfig, ReportConfigProblem>;
 
 /**
- * Keeps one node's configuration at the newest accepted version: from the service, or from peers while the service is down, slow or
- * stale. Versions only go up. A version is taken whole or not at all.
+ * Keeps one node's configuration at the newest accepted version, fetched from the service, or from peers while the service is down, slow or
+ * stale. The active version never decreases. A version is applied as a whole or not at all.
  */
 class ConfigSync
 {
@@ -136,9 +156,9 @@
 
     std::vector<ConfigAction> handle(const ConfigEvent &event, Time now);
 
-    /** Null until the first version is in force, which is never before the peers were asked for theirs. */
+    /** Null until the first version is active, which is not before the peers were queried for their versions or startTimeout has passed. */
     std::shared_ptr<const Catalog> catalog() const;
-    /** True while this node watches the service for its zone. */
+    /** Whether this node currently watches the service. */
     bool isWatcher() const;
 
 private:
@@ -146,7 +166,7 @@
     std::unique_ptr<Private> d;
 };
 
-/** The word for @p problem in metrics and logs. */
+/** The name of @p problem in metrics and logs. */
 std::string_view configProblemName(ConfigProblem problem);
 
 } // namespace ApricotStep
--- a/coordination/rumour.h
+++ b/coordination/rumour.h
@@ -8,21 +8,21 @@
 namespace ApricotStep
 {
 
-// Facts that nodes tell each other with their membership messages. Each only grows, so that they merge in any order and a late or
-// doubled one does no harm.
+// Facts that nodes exchange with their membership messages. The set of facts only grows, so they merge in any order, and late or duplicated
+// ones are harmless.
 
-/** A VM is leaving; it never comes back under the same start. */
+/** A VM is leaving; it does not return under the same incarnation. */
 struct LeavingFact
 {
-    /** The VM's id: a node's or an upstream's. */
+    /** Id of the VM: of a node or of an upstream. */
     std::string vm;
-    /** The start of a node; zero for an upstream. */
+    /** Incarnation of a node; zero for an upstream. */
     Incarnation incarnation;
 
     auto operator<=>(const LeavingFact &) const = default;
 };
 
-/** A node has this configuration version in force and hands it out. */
+/** A node has activated this configuration version and serves it to peers. */
 struct ConfigFact
 {
     NodeId node;
@@ -31,7 +31,7 @@
     auto operator<=>(const ConfigFact &) const = default;
 };
 
-/** A node that left has handed its ledger of one-time requests to another. */
+/** A node that left has handed over its ledger of one-time requests to another one. */
 struct HandOffFact
 {
     NodeId node;
