--- a/coordination/factset.cpp
+++ b/coordination/factset.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-// What is said of one start of a node stays true; what is said of an upstream's VM may end, when the VM comes back.
+// Facts about one incarnation of a node stay true. An upstream's VM may return under the same id, which ends its LeavingFact.
 Duration lifetimeOf(const Rumour &rumour)
 {
     const auto *leaving = std::get_if<LeavingFact>(&rumour);
@@ -67,10 +67,10 @@
     if (rumour.age >= lifetimeOf(rumour.rumour)) {
         return false;
     }
-    const Time firstAnnouncedAt = now - rumour.age;
-    const auto [at, isNew] = m_facts.try_emplace(rumourName(rumour.rumour), rumour.rumour, firstAnnouncedAt);
+    const Time announcedAt = now - rumour.age;
+    const auto [at, isNew] = m_facts.try_emplace(rumourName(rumour.rumour), rumour.rumour, announcedAt);
     if (!isNew) {
-        at->second.second = std::max(at->second.second, firstAnnouncedAt);
+        at->second.second = std::max(at->second.second, announcedAt);
         return false;
     }
     toggle(rumour.rumour);
--- a/coordination/gossipqueue.h
+++ b/coordination/gossipqueue.h
@@ -11,17 +11,17 @@
 namespace ApricotStep
 {
 
-/** News that waits to be told, each a bounded number of times, the least told first. */
+/** Queue of updates and rumours, each sent a bounded number of times, the least often sent first. */
 class GossipQueue
 {
 public:
     using Item = std::variant<MemberUpdate, AgedRumour>;
 
-    /** Queues @p item in place of an older one about the same thing. */
+    /** Queues @p item and replaces an older one about the same subject. */
     void add(Item item, Time now);
     /**
-     * Adds the next items to @p datagram, up to about @p maxBytes, and counts them as told. An item leaves when it was told
-     * @p transmitLimit times: enough for everyone to have heard it, so that the bytes per item do not grow with the fleet.
+     * Adds the next items to @p datagram, up to about @p maxBytes, and counts the transmissions. An item is removed after @p transmitLimit
+     * transmissions: enough to reach every node, while the bytes that each node sends per item hardly grow with the fleet.
      */
     void fill(MemberDatagram &datagram, std::size_t maxBytes, int transmitLimit, Time now);
     bool isEmpty() const;
@@ -36,7 +36,7 @@
     absl::btree_map<std::string, Entry> m_entries;
 };
 
-/** Upper bound of the bytes that an item takes on the wire. */
+/** Upper bound of an item's size on the wire. */
 std::size_t wireSize(const MemberUpdate &update);
 std::size_t wireSize(const AgedRumour &rumour);
 
--- a/coordination/localhealth.h
+++ b/coordination/localhealth.h
@@ -6,11 +6,11 @@
 {
 
 /**
- * How far this node doubts itself, after Lifeguard.
+ * This node's estimate of its own health, after Lifeguard.
  *
- * Load pattern: a node that is short of processor time or whose own link drops datagrams sees every peer as silent. Without this it
- * suspects healthy members, which shows as upstreams that change owners for nothing. Each sign of own slowness stretches its probes and
- * suspicions; each answer in time shortens them. Eight steps let a node wait up to nine times as long, as Lifeguard's authors chose.
+ * To a node that lacks processor time or whose own link drops datagrams, every peer seems unresponsive. Without this score it would suspect
+ * healthy members, and upstreams would change owners needlessly. Each sign of its own slowness lengthens its probes and suspicions; each
+ * timely response shortens them. With eight steps a node waits up to nine times as long, as the authors of Lifeguard chose.
  */
 class LocalHealth
 {
@@ -25,7 +25,7 @@
     {
         m_score = std::max(m_score - 1, 0);
     }
-    /** What to multiply waiting times by, 1 to 9. */
+    /** Multiplier for timeouts, 1 to 9. */
     int factor() const
     {
         return m_score + 1;
--- a/coordination/membership.cpp
+++ b/coordination/membership.cpp
@@ -19,8 +19,8 @@
 namespace
 {
 
-// What one datagram carries besides its head and what it says of its two ends; all together stay under 1200 bytes, which every path takes
-// in one piece.
+// Bytes of queued items in one datagram, besides its header and the updates about sender and receiver. All together stay below 1200 bytes,
+// which every path carries without fragmentation.
 constexpr std::size_t PiggybackBytes = 800;
 constexpr std::size_t MaxSyncReplies = 40;
 constexpr int ExpectedConfirmations = 3;
@@ -28,7 +28,7 @@
 constexpr std::size_t ConfirmingProbes = 4;
 constexpr std::size_t ResyncPeers = 3;
 
-// A probe on its way, this node's own or one that it relays.
+// A probe in flight, sent by this node or relayed for another one.
 struct Probe
 {
     NodeId target;
@@ -36,7 +36,7 @@
     Time indirectAt;
     Time endsAt;
     bool isIndirect = false;
-    /** To somebody who is not a live member: no answer means nothing. */
+    /** Sent to a node that is not a live member; no response has no consequence. */
     bool isIntroduction = false;
     int relays = 0;
     int nacks = 0;
@@ -75,9 +75,12 @@
     bool isViewDue = true;
     bool isViewPublished = false;
     bool hasVmList = false;
-    /** A later start of this node lives. */
+    /** A later incarnation of this node is live. */
     bool isSuperseded = false;
-    /** Only answers to a SyncRequest count until enough have come: an ack says that a peer is there, not what was missed. */
+    /**
+     * After a start or a pause, only responses to a SyncRequest count until enough have arrived: an ack shows that a peer is reachable but
+     * does not deliver missed updates.
+     */
     bool isResuming = false;
     Time lastTick;
     Time startedAt;
@@ -176,8 +179,8 @@
     actions.emplace_back(SendDatagram { address, std::move(datagram) });
 }
 
-// A receiver that does not count as alive here is told so first: a member that was wrongly declared dead, as by the other side of a
-// partition, must hear of it to refute it.
+// A receiver that is not alive in this view is told so in the same datagram: a member wrongly declared dead, for example by the other side
+// of a partition, must learn of it to refute it.
 void Membership::Private::send(const std::string &address, MemberBody body, const Member *receiver, Time now)
 {
     std::vector<MemberUpdate> updates;
@@ -215,8 +218,9 @@
     sendGossip(now);
 }
 
-// The fleet knows another start of this node. When that one counts as later, either this one is new and its wall clock has stepped back,
-// or this one is the old one, as when a VM that was paused wakes after its replacement has started. Only the new one may insist.
+// Handles an update about another incarnation of this node. If that one ranks higher, either this process is the newer one and its wall
+// clock has stepped back, or it is the older one, such as a paused VM that resumes after its replacement has started. Only the newer one
+// may raise its epoch; a process that has published a view counts as the older one.
 void Membership::Private::applyOtherIncarnation(const MemberUpdate &update, Time now)
 {
     if (!supersedes(update, self)) {
@@ -242,10 +246,10 @@
         && known->update.incarnation == update.incarnation && known->update.refutation == update.refutation;
     if (isSameSuspicion && !known->accusers.contains(update.accuser) && std::cmp_less(known->accusers.size(), ExpectedConfirmations + 1)) {
         addAccuser(*known, update.accuser);
-        queue.add(update, now); // Each further accuser shortens the time to refute everywhere.
+        queue.add(update, now); // Each further accuser shortens the time to refute on all nodes.
         return false;
     }
-    // An unknown member without addresses can neither be probed nor served: a later Alive brings them.
+    // An unknown member without addresses can neither be probed nor used; a later Alive update brings them.
     const bool hasNoAddress = known == nullptr && update.membershipAddress.empty();
     const bool wasLive = known != nullptr && known->isLive();
     if (hasNoAddress || !table.merge(update, now)) {
@@ -256,7 +260,7 @@
         member.suspectedAt = now;
         member.accusers.clear();
         addAccuser(member, update.accuser);
-        // Few of those who hear of it look for themselves at once, so that a dead member is confirmed within one probe.
+        // A few of the nodes that receive the suspicion probe the member at once, so that a death is confirmed within one probe.
         if (random() % (table.liveCount() + 1) < ConfirmingProbes) {
             probe(update.id, now);
         }
@@ -287,8 +291,8 @@
     }
 }
 
-// Facts merge in any order and acks are matched by sequence, so a replayed datagram does little harm; it is still not let in. Neither is
-// one of another start than the known one, unless it brings the word that replaces it.
+// Facts merge in any order and acks are matched by sequence, so a replayed datagram does little harm; it is rejected nevertheless. A
+// datagram of another incarnation than the known one is rejected as well, unless it carries the update that supersedes the known one.
 bool Membership::Private::acceptSender(const MemberDatagram &datagram, const std::string &from, Time now)
 {
     Member *sender = table.find(datagram.sender);
@@ -331,8 +335,8 @@
 void Membership::Private::onBody(const Ping &ping, const DatagramReceived &event, Time now)
 {
     send(event.from, Ack { ping.sequence }, table.find(event.datagram.sender), now);
-    // Who introduces itself does not know this node, also when this node knows it already, as when the first answer was lost. Without
-    // the word of this node it would take itself to be alone.
+    // A sender that includes an update about itself does not know this node. This node may know the sender already, for example if its
+    // first ack was lost. Without an update about this node the sender would take itself to be the only node.
     const auto isOf = [](const NodeId &id) { return [&id](const MemberUpdate &update) { return update.id == id; }; };
     const auto &receivedUpdates = event.datagram.updates;
     auto &ackUpdates = std::get<SendDatagram>(actions.back()).datagram.updates;
@@ -408,7 +412,7 @@
         sendWithoutGossip(event.from, SyncReply { request.sequence }, now);
         MemberDatagram &datagram = std::get<SendDatagram>(actions.back()).datagram;
         std::size_t bytes = 0;
-        // Rumours go first: a node that wakes counts as fresh with the first part.
+        // Rumours are sent first, since a resuming node counts as fresh after the first part.
         while (!rumours.empty() && bytes + wireSize(rumours.back()) <= PiggybackBytes) {
             bytes += wireSize(rumours.back());
             datagram.rumours.push_back(rumours.back());
@@ -463,7 +467,7 @@
     if (target == nullptr) {
         return;
     }
-    // A second direct ping costs one datagram and turns a lost one from a suspicion into nothing.
+    // A second direct ping costs one datagram and avoids a suspicion if the first one was lost.
     sendWithoutGossip(target->update.membershipAddress, Ping { probeSequence }, now);
     for (const NodeId &relay : chooseRelays(table, *target, self.zone, static_cast<std::size_t>(limits.relays), random)) {
         ++probe.relays;
@@ -499,7 +503,7 @@
 
 void Membership::Private::failProbe(const Probe &probe, Time now)
 {
-    // Relays that live say so. When they are silent too, the fault may well be here.
+    // Live relays send a Nack. If they do not respond either, the fault may be on this node's side.
     if (probe.relays == 0 || probe.nacks < probe.relays) {
         health.worsen();
     }
@@ -519,7 +523,7 @@
     counters.suspicions += isFirst ? 1 : 0;
     applyUpdate(update, now);
     if (isFirst) {
-        // The suspected member hears it from here, not only in its turn, so that it can refute in time.
+        // Notifies the suspected member directly instead of by gossip alone, so that it can refute in time.
         sendWithoutGossip(update.membershipAddress, Gossip {}, now, { update });
     }
 }
@@ -554,7 +558,7 @@
     }
 }
 
-// Sends the news to a few peers at once. An item that nobody has heard yet spreads by doubling from here.
+// Sends queued items to a few random peers. An item that no other node has yet spreads exponentially from there.
 void Membership::Private::sendGossip(Time now)
 {
     for (const NodeId &id : chooseLive(table, static_cast<std::size_t>(limits.gossipFanOut), {}, random)) {
@@ -571,8 +575,9 @@
     }
 }
 
-// A member that does not live in the view is looked for slowly and for ever while the VM list names it, and for a while after it was
-// seen last. Without this both sides of a partition would stay apart after it has healed, since neither probes what it holds for dead.
+// Contacts members that are not live in the view at a low rate: for as long as the VM list names them, and for a limited time after they
+// were declared dead. Without this the two sides of a partition would not merge after it has healed, since neither probes members that it
+// considers dead.
 void Membership::Private::reconnect(Time now)
 {
     if (now < nextReconnect) {
@@ -626,7 +631,7 @@
     ++counters.pauses;
     resumedAt = now;
     repliedSinceResume.clear();
-    // What ran out while this process stood still says nothing about the others: it could not have heard them.
+    // Timeouts that expired during the pause say nothing about the other members, since this process could not receive their messages.
     probes.clear();
     for (const auto &[id, member] : table.members()) {
         if (member.update.state == MemberState::Suspect) {
@@ -637,14 +642,14 @@
     nextResync = now;
 }
 
-// Asked again and again while some answers are missing: they may be lost, and the peers may be dead by now.
+// Repeated while responses are missing: they may be lost, or the queried peers may have died.
 void Membership::Private::requestResync(Time now)
 {
     if (!isResuming || now < nextResync) {
         return;
     }
     if (table.liveCount() == 0) {
-        isResuming = now - resumedAt < limits.freshFor; // Nobody is there to ask.
+        isResuming = now - resumedAt < limits.freshFor; // There is no peer to query.
         return;
     }
     nextResync = now + limits.probeInterval;
@@ -691,7 +696,7 @@
         }
     }
     if (table.liveCount() == 0) {
-        // A node that starts asks several at once: until one answers it knows nobody.
+        // A starting node contacts several nodes at once, since it has no peers until one responds.
         for (const VmRecord &vm : listed) {
             if (isContactable(vm) && random() % listed.size() < ResyncPeers) {
                 contact(vm.membershipAddress, table.find(NodeId(vm.id)), now);
@@ -718,13 +723,13 @@
 {
     self.state = MemberState::Left;
     queue.add(self, now);
-    // It has no later turn: the news goes out twice as wide as usual.
+    // There is no later gossip round, so the update is sent to twice as many peers as usual.
     sendGossip(now);
     sendGossip(now);
 }
 
-// Two nodes with one number could make equal fencing tokens, and a new owner's order would not shut out an old one's. The one with the
-// greater id gives way.
+// Two nodes with the same number could create equal fencing tokens, so that a new owner's order would not fence off the former owner. The
+// node with the greater id picks another number.
 void Membership::Private::resolveNumberConflict(Time now)
 {
     const auto isTaken = [&] {
@@ -744,8 +749,8 @@
         return false;
     }
     if (table.liveCount() == 0) {
-        // Alone: at once when the list names this node and nobody to meet, else when there was time enough to be met. A list that does
-        // not name this node yet may well lack others too.
+        // Without live peers the view is fresh at once if the VM list names this node and no other to contact, else after enough time for
+        // others to make contact. A list that does not name this node yet may lack other nodes too.
         const bool isNamed = std::any_of(listed.begin(), listed.end(), [&](const VmRecord &vm) { return NodeId(vm.id) == self.id; });
         const bool isAlone = isNamed && std::none_of(listed.begin(), listed.end(), [&](const VmRecord &vm) { return isContactable(vm); });
         return isAlone || now - resumedAt >= limits.freshFor;
@@ -754,7 +759,7 @@
     return repliedSinceResume.size() >= wanted && now - lastReplyAt < limits.freshFor;
 }
 
-// A node that starts and shows a view of itself alone would take itself for the owner of everything.
+// A starting node that published a view of itself alone would consider itself the owner of everything.
 bool Membership::Private::mayPublishView(Time now) const
 {
     const bool areAllKnown = std::all_of(listed.begin(), listed.end(), [&](const VmRecord &vm) {
@@ -787,7 +792,7 @@
         const Member *member = table.find(NodeId(vm.id));
         return isContactable(vm) && !vm.leaving && (member == nullptr || member->update.state == MemberState::Dead);
     });
-    // A VM that the list names without a membership address cannot be probed: it is taken at the list's word.
+    // A listed VM without a membership address cannot be probed; it is assumed to be live.
     for (const VmRecord &vm : listed) {
         if (vm.membershipAddress.empty() && !vm.leaving && NodeId(vm.id) != self.id && table.find(NodeId(vm.id)) == nullptr) {
             next->nodes.push_back({ NodeId(vm.id), vm.zone, vm.callerAddress, vm.rpcAddress, Incarnation() });
@@ -815,7 +820,7 @@
     d->self.number = static_cast<std::uint16_t>(stableHash(d->self.id.value(), "number"));
     d->limits = limits;
     d->random.seed(seed);
-    // Acks are matched by sequence: one that is guessed from a fixed start would let an old datagram stand for a new answer.
+    // Acks are matched by sequence. With a fixed initial value an old datagram could be taken for a new response.
     d->sequence = static_cast<std::uint32_t>(d->random());
 }
 
--- a/coordination/membership.h
+++ b/coordination/membership.h
@@ -16,11 +16,11 @@
 
 // Events.
 
-/** Time went by; every 20 to 100 ms. */
+/** Periodic timer event, every 20 to 100 ms. */
 struct MembershipTick
 {
 };
-/** An authentic datagram arrived from @p from, host:port. */
+/** An authenticated datagram arrived from @p from, host:port. */
 struct DatagramReceived
 {
     MemberDatagram datagram;
@@ -31,7 +31,7 @@
 {
     VmList list;
 };
-/** This node has something to tell the fleet. */
+/** Send a rumour of this node to the fleet. */
 struct AnnounceRumour
 {
     Rumour rumour;
@@ -40,7 +40,7 @@
 struct AnnounceLeaving
 {
 };
-/** This node ends now. */
+/** This node is about to exit. */
 struct AnnounceLeft
 {
 };
@@ -54,12 +54,12 @@
     std::string address;
     MemberDatagram datagram;
 };
-/** Who lives or leaves has changed. */
+/** The set of live or leaving members has changed. */
 struct ViewChanged
 {
     std::shared_ptr<const FleetView> view;
 };
-/** A rumour that this node did not know, its own included. */
+/** A rumour that is new to this node; includes its own. */
 struct RumourLearned
 {
     Rumour rumour;
@@ -68,31 +68,31 @@
 
 struct MembershipLimits
 {
-    /** Between two probes of this node. */
+    /** Between two probes by this node. */
     Duration probeInterval { 500 };
-    /** For the direct answer; then relays are asked and the member is pinged again. Beyond the longest round trip. */
+    /** Timeout of the direct response; then relays are asked and the member is pinged again. Longer than the longest round trip. */
     Duration probeTimeout { 200 };
-    /** For a suspected member to refute when several nodes suspect it. */
+    /** Time for a suspected member to refute if several nodes suspect it. */
     Duration suspicionMin { 1500 };
-    /** The same when only one does. */
+    /** The same if only one node suspects it. */
     Duration suspicionMax { 4000 };
-    /** Between two rounds of gossip while there is news. */
+    /** Between two gossip rounds while updates are queued. */
     Duration gossipInterval { 200 };
-    /** Between two requests to synchronise with a peer whose digest differs. */
+    /** Average time between two requests to synchronise with a peer whose digest differs. */
     Duration syncInterval = Duration::seconds(10);
-    /** Between two tries to reach a member that is in the VM list or was live once, but does not live in the view. */
+    /** Between two attempts to contact a member that is in the VM list or was live before, but is not live in the view. */
     Duration reconnectInterval = Duration::seconds(3);
-    /** A gap between two ticks from which the process counts as paused. */
+    /** Gap between two ticks from which on the process counts as paused. */
     Duration pauseGap = Duration::seconds(2);
-    /** A view is fresh when a peer answered within this time. */
+    /** The view counts as fresh for this long after the last response of a peer. */
     Duration freshFor = Duration::seconds(5);
-    /** How long dead and left members are remembered. */
+    /** How long dead and left members are kept. */
     Duration removeDeadAfter = Duration::seconds(600);
     int relays = 3;
     int gossipFanOut = 3;
 };
 
-/** What happened, for metrics. */
+/** Event counts for metrics. */
 struct MembershipCounters
 {
     std::uint64_t suspicions = 0;
@@ -103,34 +103,33 @@
 };
 
 /**
- * Which nodes live, and the rumours that they tell each other: SWIM with suspicion, refutation, Lifeguard's local health and a slow
- * anti-entropy, seeded by the VM list.
+ * Tracks the live nodes and spreads rumours among them: SWIM with suspicion, refutation, Lifeguard's local health and a slow anti-entropy,
+ * seeded by the VM list.
  *
- * Load pattern: nodes fail alone, by rack and by availability zone, datagrams get lost, processes pause, links part. Without it every
- * node would trust the lagging VM list, which shows as requests sent to dead nodes for as long as the list lags. Each node probes one
- * member an interval, so what a node sends does not grow with the fleet; docs/decisions has the grounds for the figures.
+ * Nodes fail one by one, by rack and by availability zone; datagrams get lost, processes pause and links partition. Without this class
+ * every node would rely on the VM list and send requests to dead nodes for as long as the list lags. Each node probes one member per
+ * interval, so that its traffic does not grow with the fleet; docs/decisions has the reasons for the constants.
  *
- * A state machine without I/O: give it what happened and the time, carry out the actions that it returns. Not thread-safe.
+ * A state machine without I/O: pass it events with the time, and execute the actions that it returns. Not thread-safe.
  */
 class Membership
 {
 public:
-    /** @p self: this node with its addresses; its state is Alive. @p seed of the random choices. */
+    /** @p self is this node with its addresses, in the state Alive. @p seed initialises the random choices. */
     Membership(MemberUpdate self, MembershipLimits limits, std::uint64_t seed);
     ~Membership();
 
     std::vector<MembershipAction> handle(const MembershipEvent &event, Time now);
 
     /**
-     * Whether decisions may rest on the view at @p now. Not after a gap between ticks until peers have answered again: a process that
-     * wakes late still believes old facts. Ask at the moment of the deed, not earlier.
+     * Whether the view at @p now is good enough for decisions. After a gap between ticks it is not until peers have responded again, since
+     * a resumed process holds stale facts. Check this immediately before acting, not earlier.
      */
     bool isFresh(Time now) const;
-    /** Low bits of this node's fencing tokens; differs from that of every live member in the view. */
+    /** Low bits of this node's fencing tokens; unique among the live members in the view. */
     std::uint16_t number() const;
-    /** The newest view; never null. */
+    /** The latest view; never null. */
     std::shared_ptr<const FleetView> view() const;
-    /** Rumours known now. */
     std::vector<Rumour> rumours() const;
     const MembershipCounters &counters() const;
 
--- a/coordination/membertable.cpp
+++ b/coordination/membertable.cpp
@@ -16,7 +16,8 @@
     return static_cast<std::uint32_t>(stableHash(update.id.value(), start));
 }
 
-// Dead members do not enter the digests: nodes forget them at different times, and digests that never agree would never rest.
+// Dead members are not part of the digests: nodes remove them at different times, so the digests would never agree and synchronisation
+// would never end.
 void MemberTable::toggle(const Member &member)
 {
     if (member.isLive()) {
--- a/coordination/membertable.h
+++ b/coordination/membertable.h
@@ -11,13 +11,13 @@
 namespace ApricotStep
 {
 
-/** One other node as this one knows it. */
+/** Another node as known by this one. */
 struct Member
 {
     MemberUpdate update;
     Time changedAt;
     ReplayWindow replayWindow;
-    /** While it is suspected: who says so, and until when it may refute. */
+    /** While it is suspected: the nodes that suspect it, and since when. */
     absl::flat_hash_set<NodeId> accusers;
     Time suspectedAt;
 
@@ -28,23 +28,22 @@
 };
 
 /**
- * What this node knows of all other nodes, and a digest of it that equal tables share. Ordered by id, since equal seeds must give equal
- * runs and a hash map's order differs from run to run.
+ * What this node knows of all other nodes, and a digest that is equal for equal tables. Ordered by id, since equal seeds must give equal
+ * runs and the order of a hash map differs from run to run.
  */
 class MemberTable
 {
 public:
-    /** Takes @p update in when it supersedes what is known. Returns whether it did. */
+    /** Applies @p update if it supersedes what is known. Returns whether it did. */
     bool merge(const MemberUpdate &update, Time now);
-    /** Null when there is none. */
+    /** Returns null if there is no such member. */
     Member *find(const NodeId &id);
     const Member *find(const NodeId &id) const;
-    /** Live members only. */
     std::size_t liveCount() const;
     const absl::btree_map<NodeId, Member> &members() const;
-    /** Forgets members that have been dead or left since before @p moment. */
+    /** Removes members that have been dead or left since before @p moment. */
     void removeDeadBefore(Time moment);
-    /** XOR of the hashes of the live members of each bucket. */
+    /** XOR of the hashes of the live members in each bucket. */
     const BucketDigests &digests() const;
 
 private:
@@ -55,9 +54,9 @@
     std::size_t m_live = 0;
 };
 
-/** The bucket that knowledge about @p name belongs to. */
+/** The digest bucket of all facts about @p name. */
 std::size_t digestBucket(std::string_view name);
-/** The hash under which a live member enters the digests. */
+/** The hash with which a live member enters the digests. */
 std::uint32_t digestOf(const MemberUpdate &update);
 
 } // namespace ApricotStep
--- a/coordination/probeschedule.h
+++ b/coordination/probeschedule.h
@@ -10,11 +10,11 @@
 
 using Random = std::mt19937_64;
 
-/** Whom to probe next: each live member once in a round of random order, so that a silent one is found within a bounded time. */
+/** Order of probes: each live member once per round, in random order, so that an unresponsive one is found within a bounded time. */
 class ProbeSchedule
 {
 public:
-    /** Empty when no other member lives. */
+    /** Empty if no other member is live. */
     NodeId next(const MemberTable &table, Random &random);
 
 private:
@@ -22,8 +22,9 @@
 };
 
 /**
- * Relays for an indirect probe of @p target, at most @p count: one of the target's availability zone, one of the own zone, the rest
- * from anywhere. A cut between two zones then still leaves a path, and one within a zone is told apart from a dead member.
+ * Chooses at most @p count relays for an indirect probe of @p target: one in the target's availability zone, one in this node's zone, the
+ * rest from anywhere. With a partition between two zones there is still a path, and a partition within a zone can be told apart from a dead
+ * member.
  */
 std::vector<NodeId> chooseRelays(const MemberTable &table, const Member &target, const ZoneId &ownZone, std::size_t count, Random &random);
 
--- a/coordination/replaywindow.h
+++ b/coordination/replaywindow.h
@@ -5,11 +5,11 @@
 namespace ApricotStep
 {
 
-/** Remembers which of the last 64 counters of one sender were seen, so that a doubled or replayed datagram is dropped. */
+/** Tracks which of the last 64 counters of one sender were seen, so that duplicated and replayed datagrams are dropped. */
 class ReplayWindow
 {
 public:
-    /** False when @p counter was seen before or is too old to tell. */
+    /** Returns false if @p counter was seen before or is too old to be tracked. */
     bool accept(std::uint32_t counter)
     {
         if (counter > m_highest) {
