--- a/coordination/fleetscope.cpp
+++ b/coordination/fleetscope.cpp
@@ -22,7 +22,7 @@
         m_zone = m_ownZone;
         return;
     }
-    // A zone without engines of its own: its nodes all join the next one that has some.
+    // All nodes of a zone without engines use the engines of the next zone that has some.
     const auto next = engineZones.upper_bound(m_ownZone);
     m_zone = next != engineZones.end() ? *next : *engineZones.begin();
 }
--- a/coordination/shardmap.cpp
+++ b/coordination/shardmap.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-// The loss of one holder stops at most an eighth of the loads.
+// The loss of one holder stops at most an eighth of the adapter loads.
 constexpr std::uint64_t MinShards = 8;
 
 } // namespace
@@ -36,7 +36,7 @@
     const std::uint64_t hash = stableHash(engine.id.value());
     const auto at = std::lower_bound(m_zones.begin(), m_zones.end(), engine.zone);
     const bool isKnown = at != m_zones.end() && *at == engine.zone;
-    // An engine in a zone that nobody has heard of still has one holder.
+    // An engine in an unknown zone has a single holder as well.
     const std::uint64_t zone = isKnown ? static_cast<std::uint64_t>(at - m_zones.begin()) : hash / m_shardsPerZone % m_zones.size();
     return EngineShard(zone * m_shardsPerZone + hash % m_shardsPerZone);
 }
--- a/coordination/shardmap.h
+++ b/coordination/shardmap.h
@@ -11,21 +11,21 @@
 {
 
 /**
- * Parts of the engines whose orders have a holder each: some for each availability zone.
+ * Divides the engines into shards, several per availability zone. One lease holder per shard gives the orders to its engines.
  *
- * With one holder for all, no adapter is loaded anywhere for four seconds after each loss of that node; with eight, most of the engines go
- * on. Within a zone, since in a large fleet only the nodes of a zone tell each other what they run.
+ * With one holder for all engines, no adapter is loaded on any of them for four seconds after each loss of that node; with eight shards
+ * most engines are not affected. Shards do not span zones, since in a large fleet only the nodes of one zone exchange their load.
  */
 class ShardMap
 {
 public:
-    /** @p zones: all that the fleet has; all nodes must give the same ones. None: the shards span all engines. */
+    /** @p zones: all zones of the fleet; must be the same on all nodes. If empty, the shards span all engines. */
     explicit ShardMap(std::vector<ZoneId> zones);
 
     std::uint64_t count() const;
-    /** The shard of an engine; never changes, since a change of holder would need a silence of its own. */
+    /** The shard of an engine. It never changes, since a change of holder would need a handover delay of its own. */
     EngineShard shardOf(const UpstreamRecord &engine) const;
-    /** Empty when the shards span all zones. */
+    /** Empty if the shards span all zones. */
     const ZoneId &zoneOf(EngineShard shard) const;
 
 private:
