--- a/coordination/orderlease.cpp
+++ b/coordination/orderlease.cpp
@@ -14,29 +14,29 @@
 namespace
 {
 
-// Low bits of a fencing token, from the holder's id: two nodes that count up to the same number still differ.
+// The low bits of a fencing token are derived from the holder's id, so that tokens of two nodes with the same count differ.
 constexpr std::uint64_t NodeBits = 16;
 
-// A forged count must not keep all orders from being given: no fleet is larger.
+// Bounds the reported fleet size, so that a forged count cannot prevent all orders. No fleet is larger.
 constexpr std::size_t MaxNodes = 4096;
 
 struct Peer
 {
     Time lastReceivedAt;
-    /** It is alive while it was heard of within this. */
+    /** It counts as live for this long after its last message. */
     Duration heartbeatTimeout;
     ZoneId zone;
     double capacity = 0;
     bool isLeaving = false;
-    /** It holds another shard. */
+    /** It holds the lease of another shard. */
     bool holdsOther = false;
-    /** Nodes that it remembers itself. */
+    /** Number of nodes that it knows of. */
     std::size_t rememberedNodes = 0;
-    /** It gave no orders to this shard after this. */
+    /** It has given no orders to this shard since then. */
     Time noOrdersSince = Time::never();
-    /** It is only an address that we were told of. */
+    /** Only an address that was passed to addSeed(). */
     bool isSeed = false;
-    /** What it has promised to this node: the claim's time of sending. */
+    /** Send time of the last claim of this node that it has granted. */
     std::optional<Time> grantedClaim;
 };
 
@@ -51,7 +51,7 @@
     LeasePriority priorityInputs;
     Time startedAt;
     absl::btree_map<NodeId, Peer> peers;
-    /** Another node's claim was heard last at, and when it said that it gives orders. */
+    /** When the last claim of another node arrived, its sender, and when that node starts to give orders. */
     Time lastClaimAt;
     NodeId claimant;
     Time otherHolderOrdersFrom = Time::never();
@@ -59,25 +59,25 @@
     Incarnation grantedIncarnation;
     Time grantedUntil;
     FencingToken greatestFence;
-    /** Set while this node claims or holds. */
+    /** Set while this node claims or holds the lease. */
     std::optional<FencingToken> fence;
-    /** When the majority first agreed to the present fence; Time::never() before. */
+    /** When a majority first granted the lease under the current token; Time::never() before. */
     Time heldSince = Time::never();
     bool isReleased = false;
     bool holdsOther = false;
-    /** When this node was last told that it may give orders. */
+    /** When this node was last allowed to give orders. */
     Time lastOrderedAt;
 
-    /** Whether this node hears more than half of all that it has not forgotten, itself included. */
+    /** Whether more than half of all known nodes, this one included, are live. */
     bool reachesMajority(Time now) const
     {
         std::size_t all = 1;
-        std::size_t heard = 1;
+        std::size_t live = 1;
         for (const auto &[id, peer] : peers) {
             ++all;
-            heard += isAlive(peer, now) ? 1 : 0;
+            live += isAlive(peer, now) ? 1 : 0;
         }
-        return 2 * heard > all;
+        return 2 * live > all;
     }
     static bool isAlive(const Peer &peer, Time now)
     {
@@ -92,8 +92,8 @@
         return now - peer.lastReceivedAt <= (peer.isLeaving ? limits.leavingVoterTimeout : limits.voterTimeout);
     }
     /**
-     * The size of the fleet, as far as any node that lives remembers it. A node that has just started counts only those that it hears;
-     * behind a partition that is a part of the fleet, and a majority of that part would lead beside the other side.
+     * The largest size of the fleet that any live node reports. A node that has just started counts only the nodes from which it receives
+     * messages; behind a partition that is a part of the fleet, and a majority of that part would elect a second holder.
      */
     std::size_t fleetSize(std::size_t ownCount, Time now) const
     {
@@ -125,9 +125,9 @@
         }
         return lowest;
     }
-    // The nodes' order for this shard. One in the engines' own zone sees their load soonest and is cut off together with them; a large one
-    // has the time to weigh all wants, which a node with a twelfth of a core has not. Among equals each shard has another first one, so
-    // that the loss of one node silences one shard.
+    // Priority of a node for this shard's lease. A node in the engines' own zone sees their load first and is cut off together with them. A
+    // large node has enough processor time to weigh all pending adapters, which a node with a twelfth of a core has not. Among equals, each
+    // shard prefers another node, so that the loss of one node affects one shard.
     std::tuple<bool, double, bool, std::uint64_t> priority(const NodeId &id, const ZoneId &zone, double capacity, bool holdsAnother) const
     {
         return { zone == priorityInputs.shardZone, capacity, !holdsAnother,
@@ -145,7 +145,7 @@
     {
         return now < grantedUntil && grantedTo != self;
     }
-    /** Until when a majority's promises bind; Time() when there is no majority. */
+    /** Time until which the grants of a majority are valid; Time() without a majority. */
     Time heldUntil(Time now) const
     {
         if (!fence) {
@@ -153,7 +153,7 @@
         }
         const auto members = voters(now);
         const std::size_t all = fleetSize(members.size() + 1, now);
-        // Its own voice counts as any other: only while it has promised itself.
+        // This node's own grant counts like any other: only while it has granted the lease to itself.
         std::vector<Time> granted;
         if (grantedTo == self && now < grantedUntil) {
             granted.push_back(grantedUntil - limits.leaseDuration);
@@ -166,8 +166,8 @@
                 hasLowest = hasLowest || id == lowest;
             }
         }
-        // An exact half leads when the lowest id is in it: of two halves only one has it.
-        // A node that knows only a part of the fleet does not know the lowest one either.
+        // An exact half is enough if it contains the lowest id: of two halves only one does. A node that knows only a part of the fleet
+        // does not know the lowest id either.
         const bool isTieBroken = hasLowest && all == members.size() + 1;
         const std::size_t needed = all % 2 == 0 && isTieBroken ? all / 2 : all / 2 + 1;
         if (granted.size() < needed) {
@@ -180,16 +180,16 @@
     {
         return now - startedAt < limits.leaseDuration + limits.clockMargin;
     }
-    /** The latest moment at which another node may have given an order. */
+    /** The latest time at which another node may have given an order. */
     Time noPeerOrdersSince(Time now) const
     {
-        // A node that this one never heard of may have held the lease until this one began: others remember more nodes than this one knows.
+        // Others know of more nodes than this one does, and one of those may have held the lease until this lease began.
         if (fleetSize(peers.size() + 1, now) > peers.size() + 1) {
             return heldSince;
         }
         Time latest;
         for (const auto &[id, peer] : peers) {
-            // What it said before this lease began may be older than its last order.
+            // A message from before the start of this lease may be older than the last order of its sender.
             const bool isCurrent = peer.lastReceivedAt >= heldSince + limits.maxMessageDelay;
             latest = std::max(latest, isCurrent ? std::min(peer.noOrdersSince, heldSince) : heldSince);
         }
@@ -313,14 +313,15 @@
 {
     d->holdsOther = holdsOther;
     d->removeExpiredPeers(now);
-    // A token that was made for an attempt long ago may lie below that of a holder in between. Voters tell theirs with each grant, and
-    // every holder's majority has one of them; so what is known at this moment is above all that ordered before.
+    // The token of an earlier attempt may be lower than that of a holder in between. Voters report the greatest token they know with each
+    // grant, and each majority contains one of them, so a token above the greatest one known now is above those of all former holders.
     if (d->fence && d->heldSince == Time::never() && d->greatestFence > *d->fence) {
         d->stopClaiming();
     }
     const bool isHeld = isHolder(now);
     d->updateHeldSince(now);
-    // A lease that was lost for a moment may have been another's meanwhile: what follows is a new one, with its silence.
+    // Another node may have held the lease after this node lost it, even if only for a moment. What follows is a new lease with its own
+    // handover delay.
     if (!isHeld && d->heldSince != Time::never()) {
         d->stopClaiming();
     }
@@ -341,7 +342,7 @@
         d->fence = FencingToken((count << NodeBits) | low);
         d->greatestFence = std::max(d->greatestFence, *d->fence);
     }
-    // A claimant has promised itself: it must not help another to a majority beside its own.
+    // A claimant grants the lease to itself, so that it cannot contribute to the majority of another node.
     d->grantedTo = d->self;
     d->grantedIncarnation = d->incarnation;
     d->grantedUntil = now + d->limits.leaseDuration;
@@ -371,8 +372,8 @@
     if (!isHolder(now) || d->heldSince == Time::never() || d->ownOrdersIn(now) > Duration(0)) {
         return std::nullopt;
     }
-    // Noted here, since each order asks. Noted with the claims only, a node that began to order and left between two of them would tell its
-    // follower that it never ordered.
+    // Recorded here, since each order checks this function. If it were recorded with claims only, a node that gave its first orders and
+    // left before its next claim would report to its successor that it never gave any.
     d->lastOrderedAt = now;
     return d->fence;
 }
@@ -387,7 +388,7 @@
     if (now < d->grantedUntil) {
         return d->grantedTo;
     }
-    // A node that leaves or has just started promises nothing, but it hears who claims.
+    // A node that leaves or has just started grants nothing, but it receives the claims of others.
     return d->lastClaimAt != Time() && now - d->lastClaimAt < d->limits.leaseDuration ? d->claimant : NodeId();
 }
 
@@ -396,7 +397,7 @@
     if (isHolder(now)) {
         return d->ownOrdersIn(now);
     }
-    // Without a holder: a claim, and the silence that follows.
+    // Without a holder: the time until a claim, plus the handover delay.
     if (holder(now).isEmpty()) {
         return d->limits.livenessTimeout + d->limits.handoverDelay + d->limits.clockMargin;
     }
--- a/coordination/orderlease.h
+++ b/coordination/orderlease.h
@@ -11,50 +11,53 @@
 namespace ApricotStep
 {
 
-// Load pattern: any number of nodes is killed, frozen, cut off or restarted at any moment, and nothing of theirs can be written down.
-// Without the lease: two nodes order the same engine. One evicts what the other has just loaded, or both together fill more places than the
-// engine has, and the engine crashes. One would notice orders under two holders' names within seconds.
-// A node gives orders only while more than half of the nodes that it knows of have promised, within the lease's time, to let no other node
-// do so. Two majorities share a node, and that node does not promise twice. Grounds for the figures: six renewals fit into one lease, so
-// that lost datagrams alone (three in a hundred) end none in a day. A node that has just started has forgotten its promises, so it makes
-// none for a lease's time. A new holder is silent for the time that two holders' orders must be apart. Nodes that it hears tell how long
-// ago they ordered last, and since when they run; one that it does not hear stopped before its lease ran out, which is before the new one
-// began.
+// Any number of nodes may be killed, paused, partitioned or restarted at any time, and nodes cannot persist anything. Without the lease,
+// two nodes could order the same engine: one evicts what the other has just loaded, or both together fill more slots than the engine has,
+// and it crashes. Orders under two holders' names would be visible within seconds.
+// A node gives orders only while more than half of the nodes that it knows of have granted it the lease, which means that they grant it to
+// no other node for the duration of the lease. Two majorities share a node, and that node does not grant twice. Six renewals fit into one
+// lease, so that lost datagrams alone (three in a hundred) end no lease within a day. A node that has just started does not know its former
+// grants, so it grants nothing for the duration of a lease. A new holder waits until its orders are a handover delay apart from the former
+// holder's. Reachable nodes report how long ago they gave their last order and how long they have been running; an unreachable one stopped
+// before its lease expired, which was before the new lease began.
 
 struct OrderLeaseLimits
 {
-    /** How long a promise binds. */
+    /** How long a grant is valid. */
     Duration leaseDuration { 1200 };
-    /** Taken off the holder's own view of its lease: what two steady clocks drift apart in that time, and a scheduling delay. */
+    /** Subtracted from the holder's own view of its lease: the drift of two steady clocks during that time, and a scheduling delay. */
     Duration clockMargin { 150 };
-    /** Time between renewals. */
     Duration renewalInterval { 200 };
-    /** Orders of two holders must be further apart than this. */
+    /** Handover delay: orders of two holders must be further apart than this. */
     Duration handoverDelay { 3000 };
     /**
-     * A node not heard of for so long no longer counts in the majority, as far as those see it who hear more than half of all. The other
-     * side of a partition never forgets: else both sides would lead. A minute outlasts the restarts of a whole fleet.
+     * A node from which no message has arrived for this long no longer counts towards the majority, but only for nodes that receive
+     * messages from more than half of all nodes. The minority side of a partition never removes nodes; otherwise both sides would elect a
+     * holder. A minute outlasts the restarts of a whole fleet.
      */
     Duration voterTimeout = Duration::seconds(60);
-    /** A message that arrives later than this after the begin of a lease was sent after it: datagrams take a few milliseconds. */
+    /** A message that arrives later than this after the start of a lease was sent after that start: datagrams take a few milliseconds. */
     Duration maxMessageDelay { 300 };
-    /** A node that left counts for so long: it may be back behind a partition, where it gives its voice to the other side. */
+    /** How long a node that left still counts: it may have returned behind a partition, where it grants the lease to the other side. */
     Duration leavingVoterTimeout = Duration::seconds(15);
-    /** A node heard of within this may claim: three messages lost in a row, of one that does not say how often it speaks. */
+    /**
+     * Minimum time for which a node counts as live after its last message. Allows for three consecutive lost messages of a node that does
+     * not state its heartbeat interval.
+     */
     Duration livenessTimeout { 900 };
 };
 
-/** Where a node stands towards the engines of a shard, by which nodes agree on the one that claims first. */
+/** What determines a node's priority for a shard's lease, so that all nodes agree on the one that claims first. */
 struct LeasePriority
 {
-    /** The availability zone of the shard's engines; empty when they are spread. */
+    /** The availability zone of the shard's engines; empty if they are spread. */
     ZoneId shardZone;
-    /** This node's own zone, and its share of a core. */
+    /** This node's own zone and its share of a core. */
     ZoneId zone;
     double capacity = 0;
 };
 
-/** Decides which node alone gives orders to the engines of one shard. Not thread-safe. */
+/** Elects the one node that may give orders to the engines of one shard. Not thread-safe. */
 class OrderLease
 {
 public:
@@ -63,33 +66,42 @@
     OrderLease(OrderLease &&) noexcept;
     ~OrderLease();
 
-    /** A node that may exist, by the address where it would answer; counts until it is heard of under its id, or forgotten. */
+    /**
+     * Adds a node that may exist, by the address at which it would respond. It counts until a message from that address arrives or until it
+     * expires.
+     */
     void addSeed(const std::string &peerAddress, Time now);
-    /** Takes in what another node said. Returns the grant to answer with, if any. */
+    /** Handles another node's message. Returns the grant to respond with, if any. */
     std::optional<LeaseGrant> onMessage(const FleetMessage &message, Time now);
     /**
-     * The claim to send to all now, if this node is to claim or renew. Call it every renewal time.
-     * @p isWilling: this node can do the holder's work. @p holdsOther: it holds another shard, so that others are preferred. @p wall: the
-     * time of day, from which fencing tokens rise above those of all holders before.
+     * Returns the claim to send to all nodes, if this node should claim or renew the lease. Call it once per renewal interval.
+     * @p isWilling: this node can do the holder's work. @p holdsOther: it holds another shard's lease, so that other nodes are preferred.
+     * @p wall: the time of day; it makes fencing tokens rise above those of all former holders.
      */
     std::optional<LeaseClaim> claim(bool isWilling, bool holdsOther, Time now, Time wall);
-    /** Gives the lease up; no claim follows. */
+    /** Gives up the lease. This node does not claim it again. */
     void release();
 
-    /** The fencing token to order with; empty when this node may not order now. Ask right before the order leaves. */
+    /** The fencing token for orders; empty if this node may not give orders now. Check immediately before each order is sent. */
     std::optional<FencingToken> mayOrder(Time now) const;
-    /** Whether this node holds the lease, though it may have to be silent still. */
+    /** Whether this node holds the lease. It may still have to wait for the handover delay before it gives orders. */
     bool isHolder(Time now) const;
-    /** How long ago this node could give orders last; empty when it never could, or when that does not matter any more. */
+    /** Time since this node could last give orders; empty if it never could. */
     std::optional<LastOrder> lastOrder(Time now) const;
-    /** The node that this one has promised to, or itself; empty when none holds the lease as far as this node knows. */
+    /** The holder: this node, the node that it has granted the lease to, or the one whose claims it receives. Empty if it knows of none. */
     NodeId holder(Time now) const;
     FencingToken greatestFence() const;
-    /** How long until the holder gives orders, as far as this node knows: 0 when it does, Time::never()'s distance when there is none. */
+    /**
+     * Time until the holder gives orders, as far as this node knows: 0 if it already does. Without a holder, the time until a new one is
+     * expected to.
+     */
     Duration ordersIn(Time now) const;
-    /** Whether this node hears more than half of the nodes that it knows of: else it is cut off, and whom it hears may be so, too. */
+    /**
+     * Whether more than half of the nodes that this node knows of, itself included, are live. Otherwise it is cut off, and so may be the
+     * nodes that it receives messages from.
+     */
     bool reachesMajority(Time now) const;
-    /** Nodes that count now, this one included. */
+    /** Number of nodes that count towards the majority, this one included. */
     int voterCount(Time now) const;
 
 private:
