--- a/coordination/storecallscheduler.cpp
+++ b/coordination/storecallscheduler.cpp
@@ -9,7 +9,7 @@
 {
 
 constexpr std::int64_t JitterDivisor = 4;
-// Upstreams write several times a second, and each call is paid for; what is a second old still serves the choice among them.
+// Upstreams write several times a second and each call is billed; data that is one second old is good enough to choose among upstreams.
 constexpr Duration MaxPollDelay { 1000 };
 
 Duration share(Duration span, std::int64_t divisor)
--- a/coordination/storecallscheduler.h
+++ b/coordination/storecallscheduler.h
@@ -9,63 +9,62 @@
 namespace ApricotStep
 {
 
-// Load pattern: every node waits at the store for changes when the store, or the way to it, falls silent and later returns.
-// Without further calls: a call that was begun just before the return is never answered, and its node is deaf until it gives that call up.
-// All nodes lost the store in the same moment and ask again in step, so none of them can tell the others of a change.
-// So a node asks again beside a call that is overdue, on another connection, and takes the first answer. A slow store is still heard, since
-// earlier calls stay open. Grounds for the figures: they are shares of the time within which a change has to be in force, so that a return
-// is noticed within half of it.
+// Every node waits at the store for changes, and the store or the path to it may stop responding and recover later. A call that was started
+// just before the recovery is never answered, and its node misses changes until it gives that call up. Since all nodes lost the store at
+// the same moment and retry in step, none of them could pass on a change. Therefore a node starts another call on a second connection while
+// a call is overdue, and takes the first response. Earlier calls stay open, so that the response of a slow store is still received. The
+// times are fractions of the bound within which a change must be active, so that a recovery is noticed within half of it.
 
 struct StoreCallLimits
 {
-    /** How long the store may hold a call until something changes. */
+    /** How long the store may hold a call until something changes (long poll). */
     Duration longPollTimeout;
-    /** Beyond what the store may hold a call, before another one begins beside it. */
+    /** Time beyond the hold time before another call is started in parallel. */
     Duration hedgeDelay;
-    /** Between further calls. */
+    /** Between further parallel calls. */
     Duration hedgeInterval;
-    /** From one question to the next while the store answers: a change waits for so long at most. */
+    /** Between two polls while the store responds; a change waits for at most this long. */
     Duration pollDelay;
-    /** Without a sign of life for so long, the store counts as lost. */
+    /** The store counts as lost after this time without progress, in addition to the hold time. */
     Duration unresponsiveAfter;
-    /** After a call that failed at once; doubles up to maxRetryDelay. */
+    /** Delay after a call that failed at once; doubles up to maxRetryDelay. */
     Duration initialRetryDelay { 100 };
     Duration maxRetryDelay;
 
-    /** For changes that have to be in force within @p bound. */
+    /** Limits for changes that must be active within @p bound. */
     static StoreCallLimits within(Duration bound);
 };
 
-/** What to do now. */
+/** What to do next. */
 struct StoreCallStep
 {
-    /** A call has to begin; it counts as begun. */
+    /** A call must be started; it already counts as open. */
     bool isCallDue = false;
-    /** When to ask again for a step, unless something happens before. */
+    /** When to call step() again, unless an event comes first. */
     Time nextAt = Time::never();
 };
 
-/** Decides when a node asks the store, and how often while it is not answered. Not thread-safe. */
+/** Schedules a node's calls to the store, and parallel ones while it does not respond. Not thread-safe. */
 class StoreCallScheduler
 {
 public:
-    /** @p seed: nodes with different seeds do not ask in step. */
+    /** @p seed: nodes with different seeds do not retry in step. */
     StoreCallScheduler(StoreCallLimits limits, std::uint64_t seed);
 
-    /** A new question, which the store may hold for @p holdTime; calls of an earlier one no longer count. */
+    /** Starts a new query, which the store may hold for @p holdTime. Calls of an earlier query no longer count. */
     void ask(Duration holdTime, Time now);
     StoreCallStep step(Time now);
-    /** A part of an answer came: nothing is repeated while it goes on. */
+    /** A part of a response arrived. No parallel call is started while more arrives. */
     void onProgress(Time now);
-    /** A call ended without an answer to use. */
+    /** A call ended without a usable response. */
     void onFailed(Time now);
-    /** The question is answered. */
+    /** The query was answered. */
     void onAnswered();
-    /** No sign of life for so long that the store counts as lost, although no call has failed. */
+    /** Whether there was no progress for so long that the store counts as lost, although no call has failed. */
     bool isOverdue(Time now) const;
 
 private:
-    /** @p span, longer or shorter by up to a quarter. */
+    /** Returns @p span with a jitter of up to a quarter. */
     Duration jittered(Duration span);
 
     StoreCallLimits m_limits;
--- a/coordination/storereaderelection.cpp
+++ b/coordination/storereaderelection.cpp
@@ -24,7 +24,7 @@
 StoreReaderDecision StoreReaderElection::decide(
     bool isDivided, bool isCurrent, std::uint64_t revision, const std::vector<StorePeer> &peers, Time now)
 {
-    // A node whose own last call failed goes on until the store answers it: only so does it know that the store was away.
+    // A node whose own last call failed keeps reading until the store responds: only its own read shows it that there was an outage.
     if (!isDivided || !isCurrent || now < m_directReadUntil || isElectedReader(peers)) {
         return StoreReaderDecision { true, NodeId() };
     }
--- a/coordination/storereaderelection.h
+++ b/coordination/storereaderelection.h
@@ -10,51 +10,51 @@
 namespace ApricotStep
 {
 
-// Load pattern: each change of an engine wakes every node that waits at the store, and each wait is a call that is paid for.
-// Without turns: 134 nodes make 7,200 calls in 48 s, an eighth of what a calm day earns, and the calls grow with the square of the fleet.
-// So in a large fleet two nodes of each scope read the store and the others fetch from them what changed. Grounds for the figures: with
-// two, the loss of one costs nobody anything; a node that hears of no reader whose store answers reads by itself at once, so that a store
-// that turns some machines away, or dead readers, delay a change by one lost message at most.
+// Each change of an engine wakes every node that waits at the store, and each wait is a billed call. If all 134 nodes of a fleet read the
+// store, they make 7,200 calls in 48 s, which cost an eighth of what a calm day earns, and the calls grow with the square of the fleet.
+// Therefore in a large fleet two nodes of each scope read the store and the others fetch the changes from them. With two readers, the loss
+// of one affects no node. A node that knows of no reader to which the store responds reads the store itself at once, so that a store that
+// rejects some nodes, or dead readers, delay a change by one lost message at most.
 
 struct StoreReaderLimits
 {
     std::size_t readers = 2;
-    /** After a reader did not hand over what changed. */
+    /** How long a node reads the store itself after a reader failed to send the changes. */
     Duration directReadPeriod = Duration::seconds(3);
-    /** Between two fetches: what changed meanwhile comes together. */
+    /** Between two fetches; changes in between are fetched together. */
     Duration fetchInterval { 400 };
 };
 
-/** A node that shares this one's engines, and what it says of its reading. */
+/** A scope peer and what it reports about its reading of the store. */
 struct StorePeer
 {
     NodeId id;
     /** Share of a core. */
     double capacity = 0;
     bool isLeaving = false;
-    /** It reads the store itself, and the store answers. */
+    /** It reads the store itself, and the store responds. */
     bool isReading = false;
-    /** How far it has read. */
+    /** The revision up to which it has read. */
     std::uint64_t revision = 0;
 };
 
-/** What to do about the store now. */
+/** How this node gets the changes in the store now. */
 struct StoreReaderDecision
 {
     bool readsItself = true;
-    /** Whom to fetch what changed from; empty when nothing is to be fetched. */
+    /** The node to fetch the changes from; empty if there is nothing to fetch. */
     NodeId fetchFrom;
 };
 
-/** Decides whether this node reads the store or follows another that does. Not thread-safe. */
+/** Decides whether this node reads the store itself or follows a reader. Not thread-safe. */
 class StoreReaderElection
 {
 public:
     StoreReaderElection(StoreReaderLimits limits, NodeId self, double capacity);
 
     /**
-     * @p isDivided: the fleet is large. @p isCurrent: this node has read the whole store once, and its last call was answered.
-     * @p peers: those that are alive. @p revision: how far this node has read or fetched.
+     * @p isDivided: the fleet is large enough to be divided into scopes. @p isCurrent: this node has read the whole store once, and its
+     * last call was answered. @p peers: the live scope peers. @p revision: the revision up to which this node has read or fetched.
      */
     StoreReaderDecision decide(bool isDivided, bool isCurrent, std::uint64_t revision, const std::vector<StorePeer> &peers, Time now);
     void onFetchFailed(Time now);
