--- a/tests/coordination/configtestcluster.h
+++ b/tests/coordination/configtestcluster.h
@@ -18,9 +18,9 @@
 {
 
 /**
- * Nodes with real ConfigSync machines in virtual time, with small fakes around them: a service that hands out values, peers that answer
- * after a fixed time, and rumours as the membership spreads them (the newest version with its first three holders, to three random nodes
- * each 200 ms, as often as four times the decimal logarithm of the fleet). There are no machines, links or queues in it.
+ * Nodes with real ConfigSync machines in virtual time, and fakes of their surroundings: a service that hands out values, peers that respond
+ * after a fixed time, and gossip as membership spreads it (the newest version with its first three holders, to three random nodes every 200
+ * ms, as often as four times the decimal logarithm of the fleet size). Machines, links and queues are not simulated.
  */
 class ConfigTestCluster
 {
@@ -51,12 +51,12 @@
         }
     };
 
-    /** What the service hands out to one reader; replaced in tests of stale and broken replicas. */
+    /** The head that the service returns to a reader; replaced in tests of stale and broken replicas. */
     std::function<Result<ConfigHead>(const Node &)> headFor = [this](const Node &) { return head; };
     std::function<Result<ConfigValue>(const Node &, const std::string &hash)> valueFor = [this](const Node &, const std::string &hash) {
         return stored(hash);
     };
-    /** Whether a node's peers answer it. */
+    /** Whether the second node responds to the first. */
     std::function<bool(const Node &, const Node &)> reaches = [](const Node &, const Node &) { return true; };
 
     ConfigHead head;
@@ -65,7 +65,7 @@
     Time now { 1000 };
     double loss = 0.01;
     Duration startTimeout = Duration::seconds(5);
-    /** How long a peer takes to answer. */
+    /** Response time of a peer. */
     Duration peerTime { 2 };
 
     explicit ConfigTestCluster(int count, int zones = 4, std::uint64_t seed = 1)
@@ -89,7 +89,7 @@
         return at == values.end() ? Result<ConfigValue>(Error { ErrorKind::NotFound, hash }) : at->second;
     }
 
-    /** Begins a history anew with a whole catalog. */
+    /** Starts a new history with a whole catalog. */
     void publishBase(ConfigVersion version)
     {
         const std::string name = std::to_string(version.value());
@@ -100,7 +100,7 @@
         head = { version, version, "base" + name, {}, "head" + name };
     }
 
-    /** Publishes a change; @p mark tells apart two changes of the same version. */
+    /** Publishes a change; @p mark distinguishes two changes of the same version. */
     ConfigVersion publish(const std::string &mark = {}, const std::vector<AdapterSpec> &adapters = {})
     {
         const ConfigVersion version = head.version + ConfigVersion(1);
@@ -116,7 +116,7 @@
         return version;
     }
 
-    /** Lets who watches know that the head changed. */
+    /** Ends the waiting watches, since the head has changed. */
     void published(ConfigVersion version)
     {
         publishedAt[version] = now;
@@ -125,7 +125,7 @@
         }
     }
 
-    /** What is asked of the service from now on, and what waits there, is never answered: it ends when the node gives it up. */
+    /** From now on the service answers neither new calls nor waiting watches; they end when the node gives them up. */
     void stopResponding()
     {
         m_isUnresponsive = true;
@@ -142,10 +142,10 @@
     void kill(Node &node)
     {
         node.isAlive = false;
-        after(Duration::seconds(4), [this] { announcePeers(); }); // As long as the membership takes to be sure.
+        after(Duration::seconds(4), [this] { announcePeers(); }); // The time that membership takes to declare a member dead.
     }
 
-    /** A new process: it knows nothing. */
+    /** Starts the node as a new process without any state. */
     void restart(Node &node)
     {
         ConfigSyncSettings settings;
@@ -183,7 +183,7 @@
         return std::all_of(nodes.begin(), nodes.end(), [&](const auto &node) { return !node->isAlive || node->version() == version; });
     }
 
-    /** Seconds from the publication to the force at each live node, ascending; a day for one that lacks it. */
+    /** Seconds from publication to activation at each live node, ascending; one day for a node that lacks the version. */
     std::vector<double> propagationDelays(ConfigVersion version) const
     {
         std::vector<double> all;
@@ -223,7 +223,7 @@
 
 private:
     static constexpr Duration ServiceTime { 3 };
-    // Of the wire forms: a head of about 220 bytes, a change of one adapter about 300, both with what RPC or HTTP adds.
+    // Sizes on the wire: a head of about 220 bytes, a change of one adapter of about 300, both with the overhead of RPC or HTTP.
     static constexpr std::uint64_t HeadBytes = 400;
     static constexpr std::uint64_t DeltaBytes = 480;
     static constexpr std::uint64_t RumourBytes = 24;
--- a/tests/coordination/testconfigsync.cpp
+++ b/tests/coordination/testconfigsync.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-Test(configsync, aChangeIsInForceOnAllNodesWithinSecondsAndFewWatch)
+Test(configsync, changeBecomesActiveOnAllNodesWithinSecondsWithFewWatchers)
 {
     ConfigTestCluster cluster(40);
     cluster.run(StartupTime);
@@ -24,9 +24,9 @@
     cr_assert(cluster.allAt(version));
 }
 
-// The service's replica went back to a copy of last week, and nodes restart behind it. If a node believed it, an adapter that an operator
+// A replica of the service reverts to an old copy while nodes restart. If a node accepted the old version, an adapter that an operator
 // withdrew would serve callers again.
-Test(configsync, aRestartedNodeDoesNotTakeTheOldVersionOfAStaleService)
+Test(configsync, restartedNodeRejectsOldVersionOfStaleService)
 {
     ConfigTestCluster cluster(6);
     cluster.run(StartupTime);
@@ -34,12 +34,12 @@
     const ConfigVersion accepted = cluster.publish();
     cluster.run(StartupTime);
     cluster.headFor = [old](const auto &) { return old; };
-    cluster.peerTime = Duration(40); // The service is the first to answer.
+    cluster.peerTime = Duration(40); // The service responds before the peers do.
     for (int i = 0; i < 3; ++i) {
         cluster.nodes[static_cast<std::size_t>(i)]->activeAt.clear();
         cluster.restart(*cluster.nodes[static_cast<std::size_t>(i)]);
     }
-    cluster.run(Duration::seconds(90)); // Long enough for the watches of the others to end with the old head.
+    cluster.run(Duration::seconds(90)); // Long enough for the watches of the other nodes to end with the old head.
     cr_assert(cluster.allAt(accepted));
     for (const auto &node : cluster.nodes) {
         cr_assert_not(node->activeAt.contains(ConfigVersion(1)) && node->activeAt.size() == 1);
@@ -48,8 +48,8 @@
     cr_assert(cluster.nodes.back()->sync->catalog()->contains({ AdapterId("a2"), AdapterVersion("1") }));
 }
 
-// Every node but one loses its way to the service. Callers should not notice: the change still reaches all.
-Test(configsync, aChangeSpreadsFromTheOneNodeThatReachesTheService)
+// All nodes but one lose their connection to the service. A change must still reach all nodes.
+Test(configsync, changeSpreadsFromTheOnlyNodeThatReachesTheService)
 {
     ConfigTestCluster cluster(40);
     cluster.run(StartupTime);
@@ -65,14 +65,14 @@
     const ConfigVersion first = cluster.publish();
     cluster.run(Duration::seconds(15));
     cr_assert(cluster.allAt(first));
-    // By now the lucky node watches in the others' place.
+    // By now the reachable node watches in place of the others.
     const ConfigVersion second = cluster.publish();
     cluster.run(Duration::seconds(5));
     cr_assert(cluster.allAt(second));
 }
 
-// Nobody answers a starting node: its peers are unreachable. It must not wait for ever, since a whole fleet may start like this.
-Test(configsync, aNodeThatNoPeerAnswersStartsAfterABoundedWait)
+// No peer responds to a starting node. It must not wait for ever, since a whole fleet may start like this.
+Test(configsync, nodeWithoutPeerResponsesStartsAfterABoundedWait)
 {
     ConfigTestCluster cluster(3);
     cluster.reaches = [](const auto &, const auto &) { return false; };
@@ -82,8 +82,9 @@
     cr_assert(cluster.allAt(ConfigVersion(1)));
 }
 
-// Two operators publish at once, both from version 1. Half of the fleet would resolve selectors by one and half by the other.
-Test(configsync, aSecondHeadOfTheSameVersionIsRefusedAndReported)
+// Two operators publish at the same time, both based on version 1. If both heads were accepted, half of the fleet would resolve selectors
+// by one and half by the other.
+Test(configsync, secondHeadOfTheSameVersionIsRefusedAndReported)
 {
     ConfigTestCluster cluster(4);
     cluster.run(StartupTime);
@@ -98,7 +99,7 @@
         cr_assert_not(node->sync->catalog()->contains({ AdapterId("a2other"), AdapterVersion("1") }));
     }
     cr_assert(cluster.nodes[0]->hasTrouble(ConfigProblem::Conflict));
-    // The next version comes from the other side: all take it, whole, and say that the histories parted.
+    // The next version descends from the other head: all nodes take it whole and report the fork.
     const ConfigVersion next = cluster.publish();
     cluster.run(StartupTime);
     cr_assert(cluster.allAt(next));
@@ -108,8 +109,8 @@
     cr_assert(version < next);
 }
 
-// A replica hands out cut pages. A node that took one would not know half of its adapters.
-Test(configsync, aCorruptedValueIsFetchedFromAnotherSource)
+// A replica returns truncated pages. A node that accepted one would lack half of its adapters.
+Test(configsync, corruptedValueIsFetchedFromAnotherSource)
 {
     ConfigTestCluster cluster(3);
     cluster.run(StartupTime);
@@ -128,8 +129,8 @@
     cr_assert(cluster.allAt(version));
 }
 
-// Both watchers of a zone die. Nobody would tell that zone of changes until the membership names new ones.
-Test(configsync, aWatcherThatDiesIsReplaced)
+// Both watchers of a zone die. Without new ones that zone would not learn of changes.
+Test(configsync, deadWatcherIsReplaced)
 {
     ConfigTestCluster cluster(12, 1);
     cluster.run(StartupTime);
@@ -147,8 +148,8 @@
     cr_assert(cluster.allAt(version));
 }
 
-// Guards against nodes that stay deaf after a silent service has returned, until calls that they began before it run out.
-Test(configsync, aChangeIsInForceInTimeAfterTheServiceWasSilent)
+// Guards against nodes that miss changes after an unresponsive service has recovered, until the calls that they started before it time out.
+Test(configsync, changeBecomesActiveInTimeAfterServiceOutage)
 {
     for (int silence = 1; silence <= 40; silence += 3) {
         ConfigTestCluster cluster(8, 4);
@@ -162,9 +163,9 @@
     }
 }
 
-// The service lost a change in the middle of the chain. Nodes that have it go on; one that starts gets as far as the base, says so, and
-// comes up with the rest at the next base.
-Test(configsync, aGapInTheChangesFallsBackToTheBase)
+// The service lost a change in the middle of the chain. Nodes that have it go on; a starting one must get as far as the base, report the
+// gap, and take the rest with the next base.
+Test(configsync, gapInTheChangesFallsBackToTheBase)
 {
     ConfigTestCluster cluster(1);
     cluster.publish();
@@ -179,8 +180,8 @@
     cr_assert(cluster.allAt(ConfigVersion(4)));
 }
 
-// A node was away for longer than the changes since the newest base: it takes the base and goes on from there.
-Test(configsync, aNodeFarBehindStartsFromTheNewerBase)
+// A node is further behind than the changes since the newest base. It must take the base and go on from there.
+Test(configsync, nodeFarBehindStartsFromTheNewerBase)
 {
     ConfigTestCluster cluster(2);
     cluster.run(StartupTime);
@@ -190,8 +191,8 @@
     cr_assert(cluster.allAt(version));
 }
 
-// An operator publishes a change that breaks a reference. Taking half of it would serve requests on what no one published.
-Test(configsync, anInvalidVersionIsRefusedWholeAndTheLastGoodOneStays)
+// An operator publishes an invalid change. If half of it were applied, requests would be served by a configuration that nobody published.
+Test(configsync, invalidVersionIsRefusedAsAWholeAndThePreviousOneStays)
 {
     ConfigTestCluster cluster(5);
     cluster.run(StartupTime);
@@ -202,9 +203,9 @@
     cr_assert(cluster.allAt(ConfigVersion(1)));
     cr_assert(cluster.nodes[0]->hasTrouble(ConfigProblem::Refused));
     cr_assert_not(cluster.nodes[0]->sync->catalog()->contains({ AdapterId("good"), AdapterVersion("1") }));
-    // A refused head is not fetched over and over: five nodes make a few calls a second at most.
+    // A refused head is not fetched repeatedly: five nodes make a few calls a second at most.
     cr_assert_lt(cluster.serviceCalls() - calls, 200);
-    // The next version mends it: its base holds no trace of the bad one.
+    // The next version is valid: its base contains nothing of the refused one.
     cluster.publishBase(ConfigVersion(3));
     cluster.published(ConfigVersion(3));
     cluster.run(StartupTime);
--- a/tests/coordination/testfleetscope.cpp
+++ b/tests/coordination/testfleetscope.cpp
@@ -25,9 +25,9 @@
 
 } // namespace
 
-// A fleet grows beyond what one small node can listen to. Its nodes then share what they run within their zone only; nodes of other zones
-// that went on telling everything would take the processor that callers wait for.
-Test(fleetscope, aLargeFleetDividesByZone)
+// A fleet grows beyond what one small node can process messages for. Its nodes must then exchange load within their zone only, since
+// messages between zones would take the processor time that callers wait for.
+Test(fleetscope, largeFleetDividesByZone)
 {
     FleetScope scope(FleetScopeLimits {}, A);
     scope.update(20, { A, B });
@@ -38,9 +38,9 @@
     cr_assert(!scope.isScopePeer(B, B) && !scope.isScopePeer(A, B));
 }
 
-// All engines of a zone are lost. Requests that come to its nodes would be refused for as long as that lasts, while other zones' engines
-// are free; so its nodes join the next zone, all the same one.
-Test(fleetscope, aZoneWithoutEnginesJoinsAnother)
+// All engines of a zone are lost. Its nodes must all use the same next zone, or their requests would be refused while engines of other
+// zones are free.
+Test(fleetscope, zoneWithoutEnginesUsesAnother)
 {
     FleetScope scope(FleetScopeLimits {}, C);
     scope.update(134, { A, B });
@@ -51,9 +51,9 @@
     cr_assert(scope.zone() == C);
 }
 
-// Nodes restart in turn around the size at which the fleet divides. Were each restart to change who uses which engines, adapters would be
-// loaded here and there by turns.
-Test(fleetscope, oneRestartDoesNotChangeIt)
+// Nodes restart one by one around the size at which the fleet divides. If each restart changed which nodes use which engines, adapters
+// would be loaded in one place and another alternately.
+Test(fleetscope, oneRestartDoesNotChangeTheScope)
 {
     FleetScope scope(FleetScopeLimits {}, A);
     scope.update(33, { A, B });
@@ -65,9 +65,9 @@
     cr_assert(scope.zone().isEmpty());
 }
 
-// Each engine must have one shard, the same at every node and at any moment, or two nodes order it. Shards keep to a zone, and all of them
-// get engines.
-Test(shardmap, shardsKeepToAZoneAndAreAllUsed)
+// Each engine must have one shard, the same on every node at any time; otherwise two nodes order it. A shard does not span zones, and every
+// shard gets engines.
+Test(shardmap, shardsDoNotSpanZonesAndAreAllUsed)
 {
     const ShardMap map({ C, A, B });
     const ShardMap same({ A, B, C });
@@ -83,7 +83,7 @@
     cr_assert_eq(sizes.size(), 9);
 }
 
-// An operator's zone list lacks a zone in which an engine registers, or is empty. The engine still has one holder.
+// The configured zone list lacks the zone of an engine, or is empty. The engine must still have one holder.
 Test(shardmap, engineOfAnUnknownZoneHasAShard)
 {
     const ShardMap map({ A, B });
--- a/tests/coordination/testmembership.cpp
+++ b/tests/coordination/testmembership.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-Test(membership, nodesMeetThroughTheVmListAndAgree)
+Test(membership, nodesFindEachOtherThroughTheVmList)
 {
     FakeFleet fleet(1);
     addNodes(fleet, 12);
@@ -37,7 +37,7 @@
     cr_assert(fleet.nodes[3].membership->isFresh(fleet.now()));
 }
 
-Test(membership, aCrashedNodeLeavesEveryViewAndComesBackWithItsNextStart)
+Test(membership, crashedNodeLeavesEveryViewAndReturnsAfterRestart)
 {
     // A VM fails. Until the others notice, callers are sent to it and their connections time out.
     FakeFleet fleet(2);
@@ -51,9 +51,9 @@
     cr_assert(fleet.isAgreed());
 }
 
-Test(membership, lossAloneKillsNobody)
+Test(membership, lossAloneDeclaresNoMemberDead)
 {
-    // The network drops one datagram in ten for five minutes. A member declared dead for that gives its upstreams away for nothing.
+    // The network drops one datagram in ten for five minutes. A member declared dead by mistake would lose its upstreams needlessly.
     FakeFleet fleet(3);
     addNodes(fleet, 12);
     fleet.loss = 0.1;
@@ -64,9 +64,9 @@
     }
 }
 
-Test(membership, aPartitionThatHealsLeavesOneFleet)
+Test(membership, fleetMergesAfterAPartitionHeals)
 {
-    // A switch fails and both sides go on alone, each with the other declared dead. When it is mended they must find each other again.
+    // A switch failure separates two halves, and each declares the other dead. After it is repaired they must merge again.
     FakeFleet fleet(4);
     addNodes(fleet, 8);
     fleet.isCut = [](std::size_t from, std::size_t to) { return (from < 4) != (to < 4); };
@@ -78,16 +78,16 @@
     cr_assert(fleet.isAgreed());
 }
 
-Test(membership, aPausedProcessIsNotFreshUntilPeersAnswer)
+Test(membership, pausedProcessIsNotFreshUntilPeersRespond)
 {
-    // A process stands still for a minute while others take its upstreams over. When it wakes it still believes that it owns them.
+    // A process is paused for a minute while others take over its upstreams. When it resumes, it must not act on its stale view.
     FakeFleet fleet(5);
     addNodes(fleet, 5);
     const Membership &paused = *fleet.nodes[2].membership;
     fleet.nodes[2].pausedUntil = fleet.now() + Duration::seconds(60);
     fleet.run(Duration::seconds(59));
     cr_assert_not(fleet.sees(0, 2));
-    cr_assert_not(paused.isFresh(fleet.now() + Duration::seconds(1)), "asked before its first tick, right at the deed");
+    cr_assert_not(paused.isFresh(fleet.now() + Duration::seconds(1)), "checked before its first tick after the pause");
     bool wasStale = false;
     fleet.run(Duration::seconds(15), [&] { wasStale = wasStale || !paused.isFresh(fleet.now()); });
     cr_assert(wasStale);
@@ -96,9 +96,10 @@
     cr_assert_eq(paused.counters().pauses, 1);
 }
 
-Test(membership, aLeavingUpstreamIsKnownEverywhereWithinThreeSeconds)
+Test(membership, leavingUpstreamIsKnownEverywhereWithinThreeSeconds)
 {
-    // One node's VM list shows a leaving upstream; those of the others lag. New work sent there meanwhile is cut off when the VM goes.
+    // The VM list of one node shows a leaving upstream while the lists of the others lag. New work sent there in the meantime would be cut
+    // off when the VM ends.
     FakeFleet fleet(6);
     addNodes(fleet, 60);
     fleet.loss = 0.01;
@@ -113,7 +114,7 @@
     cr_assert_eq(countAware(fleet, UpstreamId("engine7")), 60);
 }
 
-Test(membership, aLateNodeLearnsWhatWasSaidBefore)
+Test(membership, newNodeLearnsEarlierRumours)
 {
     FakeFleet fleet(7);
     addNodes(fleet, 6);
@@ -128,9 +129,9 @@
     cr_assert_eq(fleet.nodes[newcomer].learned.size(), 3);
 }
 
-Test(membership, theVmListAloneKillsNobodyAndNeedNotNameEveryone)
+Test(membership, liveMemberMissingFromTheVmListStays)
 {
-    // The VM list goes stale and forgets a node that serves. Dropping it would cut its callers off.
+    // The VM list is stale and lacks a node that serves. If the node were dropped, its callers would be cut off.
     FakeFleet fleet(8);
     addNodes(fleet, 5);
     fleet.list.vms.erase(fleet.list.vms.begin() + 2);
@@ -139,9 +140,9 @@
     cr_assert(fleet.isAgreed());
 }
 
-Test(membership, aNodeThatLeavesOwnsNothingButCanStillBeFound)
+Test(membership, leavingNodeOwnsNothingButCanStillBeFound)
 {
-    // A node shuts down gracefully. It gets no new work, but callers who hold its keys still have to reach it.
+    // A node shuts down gracefully. It gets no new work, but callers that hold its keys must still reach it.
     FakeFleet fleet(9);
     addNodes(fleet, 5);
     fleet.handle(1, AnnounceLeaving {});
@@ -154,10 +155,11 @@
     cr_assert(fleet.nodes[0].membership->view()->leavingNodes.empty());
 }
 
-Test(membership, aNodeThatIntroducesItselfIsToldWhoAnswers)
+Test(membership, ackToAnIntroductionIncludesTheResponder)
 {
-    // The first answer to a node that starts gets lost. Its peer knows it by then; if that answered with a bare ack from now on, the new
-    // node would take itself to be alone and for the owner of everything. Seeds 654, 4451 and 6836 of the exploration showed it.
+    // The first ack to a starting node gets lost, and its peer knows the node by then. If the peer sent bare acks from then on, the new
+    // node would take itself to be the only one and the owner of everything. Seeds 654, 4451 and 6836 of the exploration test reproduced
+    // this.
     Membership known({ NodeId("b"), Incarnation(1), 0, 0, MemberState::Alive, {}, 1, ZoneId("z"), "10.0.0.1:1", "", "" }, {}, 1);
     MemberDatagram datagram;
     datagram.sender = NodeId("a");
@@ -174,7 +176,7 @@
 
 Test(membership, noTwoLiveNodesShareANumber)
 {
-    // Numbers are 16 bits of a hash: among 600 nodes two are likely to draw the same one, and could then make equal fencing tokens.
+    // Numbers are 16 bits of a hash: among 600 nodes two are likely to have the same one, and could then create equal fencing tokens.
     FakeFleet fleet(10);
     MemberUpdate self;
     self.id = NodeId("b");
@@ -200,9 +202,9 @@
     cr_assert_neq(membership.number(), first);
 }
 
-Test(membership, aReplayedDatagramIsDropped)
+Test(membership, replayedDatagramIsDropped)
 {
-    // Somebody records a datagram and sends it again. Its signature is right, so only its counter gives it away.
+    // A recorded datagram is sent again. Its signature is valid, so only its counter shows the replay.
     Membership membership({ NodeId("b"), Incarnation(1), 0, 0, MemberState::Alive, {}, 1, ZoneId("z"), "10.0.0.1:1", "", "" }, {}, 1);
     MemberDatagram datagram;
     datagram.sender = NodeId("a");
@@ -217,9 +219,9 @@
     cr_assert_eq(membership.counters().replays, 1);
 }
 
-Test(factset, anUpstreamsLeavingIsForgottenAtTheSameTimeEverywhere)
+Test(factset, leavingFactOfAnUpstreamExpiresEverywhereAtTheSameTime)
 {
-    // A VM comes back under its old id. A node that forgets first must not be told again by one that forgets a moment later.
+    // A VM returns under its old id. A node that has expired the fact must not accept it again from a node that expires it a moment later.
     FactSet facts;
     const LeavingFact leaving { "engine1", Incarnation() };
     cr_assert(facts.merge({ leaving, Duration() }, Time(1000)));
@@ -240,7 +242,7 @@
     cr_assert_eq(facts.all(Time(3)).size(), 1);
 }
 
-Test(gossipqueue, newsIsToldABoundedNumberOfTimes)
+Test(gossipqueue, itemIsSentABoundedNumberOfTimes)
 {
     GossipQueue queue;
     queue.add(AgedRumour { LeavingFact { "engine1", Incarnation() }, Duration() }, Time(1));
--- a/tests/coordination/testorderlease.cpp
+++ b/tests/coordination/testorderlease.cpp
@@ -36,7 +36,7 @@
     bool isFrozen = false;
 };
 
-/** Nodes that talk over a network which tests can cut, in virtual time; every order that a node may give is recorded. */
+/** Nodes that exchange messages over a network that tests can partition, in virtual time. Records every order that a node may give. */
 class LeaseFleet
 {
 public:
@@ -82,7 +82,7 @@
         node.lease->release();
         sendToAll(id, message);
     }
-    /** Nodes of different groups do not hear each other; all start in group 0. */
+    /** Nodes of different groups cannot reach each other; all start in group 0. */
     void setGroup(const std::string &id, int group)
     {
         m_groups[id] = group;
@@ -119,7 +119,10 @@
         }
         return {};
     }
-    /** The first breach: orders of two holders within the turn, or a token that falls. Empty when there is none. */
+    /**
+     * The first violation: orders of two holders within the handover delay, or a fencing token that falls or that two holders share. Empty
+     * if there is none.
+     */
     const std::string &violation() const
     {
         return m_violation;
@@ -206,10 +209,10 @@
     void recordOrder(const std::string &id, FencingToken fence)
     {
         if (m_violation.empty() && !m_lastHolder.empty() && m_lastHolder != id && m_now - m_lastOrderAt < HandoverDelay) {
-            m_violation = id + " orders " + std::to_string((m_now - m_lastOrderAt).milliseconds()) + " ms after " + m_lastHolder;
+            m_violation = id + " gives orders " + std::to_string((m_now - m_lastOrderAt).milliseconds()) + " ms after " + m_lastHolder;
         }
         if (m_violation.empty() && (fence < m_lastFence || (fence == m_lastFence && m_lastHolder != id))) {
-            m_violation = id + " orders under a token that is not above that of " + m_lastHolder;
+            m_violation = id + " gives orders under a token that is not above that of " + m_lastHolder;
         }
         m_lastHolder = id;
         m_lastFence = fence;
@@ -230,7 +233,7 @@
     std::string m_violation;
 };
 
-/** The first breach in forty events drawn by @p seed; empty when there is none. */
+/** The first violation in a history of forty events drawn with @p seed; empty if there is none. */
 std::string violationInRandomHistory(std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
@@ -274,25 +277,25 @@
 
 } // namespace
 
-// A node that gives orders is told to stop, and the others take over. Each of them hears that it leaves at a different moment. A user would
-// notice two holders at once as an engine that crashes, ordered beyond its places.
-Test(orderlease, aHolderThatLeavesIsFollowedByOneOnly)
+// The holder leaves, and each other node learns of it at a different time. If two nodes took over, an engine would be ordered beyond its
+// slots and crash.
+Test(orderlease, leavingHolderHasOnlyOneSuccessor)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         LeaseFleet fleet(12, seed);
         fleet.run(Duration::seconds(10));
         const std::string former = fleet.holder();
-        cr_assert_not(former.empty(), "seed %lu: nobody gives orders", seed);
+        cr_assert_not(former.empty(), "seed %lu: no node gives orders", seed);
         fleet.leave(former);
         fleet.run(Duration::seconds(6));
         cr_assert(fleet.violation().empty(), "seed %lu: %s", seed, fleet.violation().c_str());
-        cr_assert_not(fleet.holder().empty(), "seed %lu: nobody follows", seed);
+        cr_assert_not(fleet.holder().empty(), "seed %lu: no node takes over", seed);
         cr_assert_neq(fleet.holder(), former);
     }
 }
 
-// All nodes are stopped and started again, one after the other, each while others are still on their way.
-Test(orderlease, rollingRestartsNeverLetTwoOrder)
+// All nodes restart one after the other, each while others are still restarting.
+Test(orderlease, rollingRestartsNeverAllowTwoHolders)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         LeaseFleet fleet(12, seed);
@@ -311,9 +314,8 @@
     }
 }
 
-// The fleet is cut into two halves of the same size, and both reach the engines. Then the cut moves, so that each node has once been on
-// either side.
-Test(orderlease, onlyOneHalfOrdersBehindACut)
+// The fleet is partitioned, sometimes into halves of the same size, and both sides reach the engines. The partition moves several times.
+Test(orderlease, onlyOneSideOfAPartitionGivesOrders)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         LeaseFleet fleet(12, seed);
@@ -329,8 +331,8 @@
     }
 }
 
-// A holder stands still for some seconds, as when its VM is suspended, and wakes with the belief that it may order.
-Test(orderlease, aHolderThatWakesOrdersNoMore)
+// The holder is paused for some seconds, as when its VM is suspended, and resumes with a stale view of its lease.
+Test(orderlease, resumedHolderGivesNoOrders)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         LeaseFleet fleet(7, seed);
@@ -345,9 +347,9 @@
     }
 }
 
-// A node that leaves or has just started makes no promises. It must know all the same whom to ask for adapters: its callers' requests would
-// be refused for as long as it serves them.
-Test(orderlease, aNodeThatPromisesNothingKnowsWhoOrders)
+// A node that leaves or has just started grants nothing. It must still know the holder, or its callers' requests for adapters would be
+// refused for as long as it serves them.
+Test(orderlease, nodeThatGrantsNothingKnowsTheHolder)
 {
     LeaseFleet fleet(5, 1);
     fleet.run(Duration::seconds(8));
@@ -363,9 +365,9 @@
     cr_assert(fleet.lease(other).holder(fleet.now()) == NodeId(holder));
 }
 
-// A node is told of addresses where others may be, and none of them answers. It has heard nobody: taken for nodes that live, the addresses
-// would make it believe that it is in touch with most of the fleet, and hold its callers' requests instead of sending them elsewhere.
-Test(orderlease, anAddressThatNobodyAnsweredFromIsNotHeard)
+// A node knows seed addresses, and none of them responds. If these counted as live nodes, the node would assume contact with a majority and
+// hold its callers' requests instead of sending them elsewhere.
+Test(orderlease, seedWithoutResponseIsNotLive)
 {
     const Time start { 1'000'000 };
     OrderLease lease(OrderLeaseLimits {}, EngineShard(0), NodeId("node-09"), Incarnation(1), start);
@@ -373,11 +375,11 @@
         lease.addSeed(seed, start);
     }
     cr_assert_not(lease.reachesMajority(start + Duration(10)));
-    cr_assert_eq(lease.voterCount(start + Duration(10)), 4, "they count in the majority all the same");
+    cr_assert_eq(lease.voterCount(start + Duration(10)), 4, "seeds count towards the majority");
 }
 
-// Kills, restarts, freezes, cuts, lost datagrams and clocks that jump come one over the other.
-Test(orderlease, anythingAtOnceNeverLetsTwoOrder)
+// Kills, restarts, pauses, partitions, lost datagrams and clock jumps are combined at random.
+Test(orderlease, combinedFaultsNeverAllowTwoHolders)
 {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         const std::string violation = violationInRandomHistory(seed);
@@ -385,25 +387,25 @@
     }
 }
 
-// Several nodes are restarted while a partition keeps the others from them. They know only each other and a few seeds, count that as the
-// whole fleet and lead there, beside the holder on the other side. A user notices orders of two holders within seconds.
-Test(orderlease, nodesRestartedBehindAPartitionDoNotLead)
+// Several nodes restart behind a partition. They know only each other and a few seeds; if they counted these as the whole fleet, they would
+// elect a second holder beside the one on the other side. Orders of two holders would follow within seconds.
+Test(orderlease, nodesRestartedBehindAPartitionElectNoHolder)
 {
     const std::string violation = violationInRandomHistory(589);
     cr_assert(violation.empty(), "seed 589: %s", violation.c_str());
 }
 
-// The holder is cut off, and a node that has just started wins the lease. It never heard of the former holder, so it takes the others' word
-// that they gave no orders for everybody's, and orders at once. A user notices orders of two holders within a second and a half.
-Test(orderlease, aNewcomerWaitsForAHolderThatItNeverHeardOf)
+// The holder is partitioned, and a node that has just started gets the lease without knowing of that holder. If it relied on the reports of
+// the other nodes alone, it would give orders at once, within a second and a half of the former holder's.
+Test(orderlease, newNodeWaitsForAnUnknownFormerHolder)
 {
     const std::string violation = violationInRandomHistory(637);
     cr_assert(violation.empty(), "seed 637: %s", violation.c_str());
 }
 
-// A node may order, does so, and is told to stop before it claims again. If it counts its orders by its claims, it tells its follower that
-// it gave none. A user notices orders of two holders within a second.
-Test(orderlease, aHolderThatLeavesAtOnceTellsOfItsOrder)
+// A holder gives its first orders and leaves before its next claim. If orders were recorded with claims only, it would report to its
+// successor that it gave none, and orders of two holders would follow within a second.
+Test(orderlease, holderThatLeavesAtOnceReportsItsLastOrder)
 {
     const std::string violation = violationInRandomHistory(1263);
     cr_assert(violation.empty(), "seed 1263: %s", violation.c_str());
--- a/tests/coordination/teststorecallscheduler.cpp
+++ b/tests/coordination/teststorecallscheduler.cpp
@@ -14,21 +14,24 @@
 constexpr Duration Bound { 2000 };
 constexpr Time Start { 10'000 };
 
-/** A store that answers after @p latency, and never what is asked while it is silent. */
+/** A store that responds after @p latency, and never to calls started while it is unresponsive. */
 struct Store
 {
     Time unresponsiveFrom;
     Time unresponsiveUntil;
     Duration latency;
 
-    /** When a call that is begun at @p now is answered. */
+    /** When a call that is started at @p now gets its response. */
     Time replyTime(Time now) const
     {
         return now >= unresponsiveFrom && now < unresponsiveUntil ? Time::never() : now + latency;
     }
 };
 
-/** One node at @p store, by steps of a millisecond: when it is answered for the first time from @p since on; never within @p limit. */
+/**
+ * Simulates one node that queries @p store in steps of a millisecond. Returns the time of its first response from @p since on, or never if
+ * there is none before @p limit.
+ */
 Time firstReplyTime(const Store &store, std::uint64_t seed, Time queryAt, Time since, Time limit)
 {
     const StoreCallLimits limits = StoreCallLimits::within(Bound);
@@ -54,29 +57,29 @@
 
 } // namespace
 
-// Guards against a fleet that stays deaf after the store's return because all of its calls were begun just before.
-Test(storecalls, theReturnOfASilentStoreIsNoticedWithinHalfTheBound)
+// Guards against a fleet that misses changes after the store recovers because all of its calls were started just before.
+Test(storecallscheduler, recoveryOfTheStoreIsNoticedWithinHalfTheBound)
 {
     const Time unresponsiveFrom = Start + Duration(100);
     for (int outage = 200; outage < 9'000; outage += 37) {
         const Store store { unresponsiveFrom, unresponsiveFrom + Duration(outage), Duration(4) };
         for (std::uint64_t node = 0; node < 12; ++node) {
             const Time firstReply = firstReplyTime(store, node, unresponsiveFrom, store.unresponsiveUntil, store.unresponsiveUntil + Bound);
-            cr_assert(firstReply - store.unresponsiveUntil <= Duration(Bound.milliseconds() / 2), "silent for %d ms", outage);
+            cr_assert(firstReply - store.unresponsiveUntil <= Duration(Bound.milliseconds() / 2), "unresponsive for %d ms", outage);
         }
     }
 }
 
-// Guards against a slow store that is never heard because each call is given up for the next one.
-Test(storecalls, aSlowStoreIsStillHeard)
+// Guards against a slow store whose responses are never received because each call is abandoned for the next one.
+Test(storecallscheduler, responseOfASlowStoreIsReceived)
 {
     const Store store { Time::never(), Time::never(), Duration(1400) };
     const Time firstReply = firstReplyTime(store, 1, Start, Start, Start + Duration(5000));
     cr_assert_eq((firstReply - Start).milliseconds(), 1400);
 }
 
-// Guards against a large answer over a narrow link that is fetched several times at once, so that none of them comes through.
-Test(storecalls, nothingIsRepeatedWhileAnAnswerComes)
+// Guards against a large response over a slow link that is fetched several times in parallel, so that none completes.
+Test(storecallscheduler, noCallIsRepeatedWhileAResponseArrives)
 {
     StoreCallScheduler node(StoreCallLimits::within(Bound), 1);
     node.ask(Duration(0), Start);
@@ -88,8 +91,8 @@
     }
 }
 
-// Guards against a store that turns calls away being asked without a pause, or so seldom that its return is missed.
-Test(storecalls, callsThatFailAtOnceAreRepeatedWithPauses)
+// Guards against calls to a store that rejects them at once being repeated without delay, or so rarely that its recovery is missed.
+Test(storecallscheduler, callsThatFailAtOnceAreRetriedWithDelays)
 {
     const StoreCallLimits limits = StoreCallLimits::within(Bound);
     StoreCallScheduler node(limits, 1);
@@ -108,8 +111,8 @@
     cr_assert(longest <= Duration(Bound.milliseconds() / 2), "%d ms", static_cast<int>(longest.milliseconds()));
 }
 
-// Guards against neighbours that follow a node which hears nothing: it has to know that it is deaf before a call fails.
-Test(storecalls, aSilentStoreCountsAsLostBeforeACallFails)
+// Guards against scope peers that follow a reader which receives nothing: it must detect the lost store before a call fails.
+Test(storecallscheduler, unresponsiveStoreCountsAsLostBeforeACallFails)
 {
     const StoreCallLimits limits = StoreCallLimits::within(Bound);
     StoreCallScheduler node(limits, 1);
@@ -121,8 +124,8 @@
     cr_assert_not(node.isOverdue(Start + Bound));
 }
 
-// Guards against a deployment with a tighter bound whose changes wait longer for the next question than they may take.
-Test(storecalls, aTighterBoundShortensThePauses)
+// Guards against a deployment with a tighter bound whose changes wait for the next poll longer than the bound allows.
+Test(storecallscheduler, tighterBoundShortensTheDelays)
 {
     const StoreCallLimits limits = StoreCallLimits::within(Duration(600));
     cr_assert(limits.pollDelay + limits.longPollTimeout + limits.hedgeDelay <= Duration(600));
--- a/tests/coordination/teststorereaderelection.cpp
+++ b/tests/coordination/teststorereaderelection.cpp
@@ -23,8 +23,9 @@
 
 } // namespace
 
-// A hundred nodes each wait at the store, and every change wakes them all. Operators see the store's rate used up and pay for each call.
-Test(storeturns, aFewReadAndTheOthersFollow)
+// If each of a hundred nodes waited at the store, every change would wake all of them; that would use up the call rate of the store, and
+// each call is billed.
+Test(storereaderelection, fewNodesReadAndTheOthersFollow)
 {
     StoreReaderElection small(StoreReaderLimits {}, NodeId("z"), 0.1);
     const auto others = peers(30, 0.1, 50, true);
@@ -32,14 +33,14 @@
     const StoreReaderDecision decision = small.decide(true, true, 40, others, Start);
     cr_assert(!decision.readsItself && !decision.fetchFrom.isEmpty());
     cr_assert(small.decide(true, true, 50, others, Start).fetchFrom.isEmpty());
-    // The largest nodes read.
+    // The nodes with the highest capacity read.
     StoreReaderElection large(StoreReaderLimits {}, NodeId("z"), 0.5);
     cr_assert(large.decide(true, true, 40, others, Start).readsItself);
 }
 
-// The readers are killed, or the store turns them away. A follower that waited for them would send to upstreams that have left, and keep a
-// configuration that is no longer in force.
-Test(storeturns, withoutAReaderThatIsAnsweredEachReads)
+// The readers are killed, or the store rejects them. A follower that waited for them would send requests to upstreams that have left, and
+// keep a configuration that is no longer active.
+Test(storereaderelection, everyNodeReadsWithoutAReaderThatTheStoreAnswers)
 {
     StoreReaderElection election(StoreReaderLimits {}, NodeId("z"), 0.1);
     cr_assert(election.decide(true, true, 40, peers(30, 0.1, 50, false), Start).readsItself);
@@ -49,8 +50,9 @@
     cr_assert(election.decide(true, true, 40, leaving, Start).readsItself);
 }
 
-// A reader lives but does not hand over what it read. The follower does not ask it again and again: it reads for a while, then tries.
-Test(storeturns, aFailedFetchMakesANodeReadForAWhile)
+// A reader is alive but does not send its changes. The follower must not query it repeatedly: it reads the store itself for a while and
+// then tries again.
+Test(storereaderelection, failedFetchMakesANodeReadForAWhile)
 {
     StoreReaderElection election(StoreReaderLimits {}, NodeId("z"), 0.1);
     const auto others = peers(5, 0.1, 50, true);
@@ -59,9 +61,9 @@
     cr_assert_not(election.decide(true, true, 40, others, Start + Duration(3000)).readsItself);
 }
 
-// The store was away and this node's own call has not been answered since. Only when it is answered itself does the node know that missing
-// entries may come back; one that followed others at once would drop upstreams that live.
-Test(storeturns, aNodeThatLostTheStoreGoesOnUntilItAnswers)
+// The store was unavailable, and this node's own call has not been answered since. Only a response to its own call shows the node that
+// missing entries may return; if it followed others at once, it would drop live upstreams.
+Test(storereaderelection, nodeThatLostTheStoreKeepsReadingUntilItResponds)
 {
     StoreReaderElection election(StoreReaderLimits {}, NodeId("z"), 0.1);
     cr_assert(election.decide(true, false, 40, peers(5, 0.1, 50, true), Start).readsItself);
