--- a/coordination/concurrencylimit.cpp
+++ b/coordination/concurrencylimit.cpp
@@ -11,9 +11,9 @@
 
 // The usual latency forgets a better past slowly: a lasting slowdown becomes the new usual after some hundred windows, so that the limit
 // does not stay low for ever when the work itself changed.
-constexpr double UsualRise = 0.01;
-constexpr double UsualFall = 0.5;
-constexpr double LargestCut = 0.5;
+constexpr double BaselineRiseWeight = 0.01;
+constexpr double BaselineFallWeight = 0.5;
+constexpr double MinReductionFactor = 0.5;
 
 } // namespace
 
@@ -39,15 +39,15 @@
 void ConcurrencyLimit::closeWindow()
 {
     const double recent = m_sumMs / m_samples;
-    if (m_usualMs == 0) {
-        m_usualMs = recent;
+    if (m_baselineMs == 0) {
+        m_baselineMs = recent;
     }
-    const double gradient = std::clamp(m_bounds.tolerance * m_usualMs / recent, LargestCut, 1.0);
+    const double gradient = std::clamp(m_bounds.tolerance * m_baselineMs / recent, MinReductionFactor, 1.0);
     // An upstream that is not filled proves nothing about a higher limit.
-    const bool isFilled = m_maxInFlight * 2 >= static_cast<int>(m_limit);
-    const double growth = gradient >= 1.0 && isFilled ? std::sqrt(m_limit) : 0;
+    const bool isSaturated = m_maxInFlight * 2 >= static_cast<int>(m_limit);
+    const double growth = gradient >= 1.0 && isSaturated ? std::sqrt(m_limit) : 0;
     m_limit = std::clamp(m_limit * gradient + growth, static_cast<double>(m_bounds.min), static_cast<double>(m_bounds.max));
-    m_usualMs += (recent - m_usualMs) * (recent < m_usualMs ? UsualFall : UsualRise);
+    m_baselineMs += (recent - m_baselineMs) * (recent < m_baselineMs ? BaselineFallWeight : BaselineRiseWeight);
     m_sumMs = 0;
     m_samples = 0;
     m_maxInFlight = 0;
@@ -59,7 +59,7 @@
         return;
     }
     m_droppedAt = now;
-    m_limit = std::max(m_limit * LargestCut, static_cast<double>(m_bounds.min));
+    m_limit = std::max(m_limit * MinReductionFactor, static_cast<double>(m_bounds.min));
 }
 
 int ConcurrencyLimit::limit() const
--- a/coordination/concurrencylimit.h
+++ b/coordination/concurrencylimit.h
@@ -43,7 +43,7 @@
     ConcurrencyBounds m_bounds;
     double m_limit;
     /** Usual latency in ms: a slow mean that sinks quickly. 0 before the first window. */
-    double m_usualMs = 0;
+    double m_baselineMs = 0;
     double m_sumMs = 0;
     int m_samples = 0;
     int m_maxInFlight = 0;
