--- a/coordination/handoffs.cpp
+++ b/coordination/handoffs.cpp
@@ -13,7 +13,7 @@
 void HandOffs::learn(const HandOffFact &fact, Time now)
 {
     Entry &entry = m_entries[{ fact.node, fact.incarnation }];
-    entry.learntAt = now;
+    entry.learnedAt = now;
     if (std::find(entry.successors.begin(), entry.successors.end(), fact.successor) == entry.successors.end()) {
         entry.successors.insert(entry.successors.begin(), fact.successor);
     }
@@ -27,7 +27,7 @@
 
 void HandOffs::expire(Time now)
 {
-    absl::erase_if(m_entries, [&](const auto &entry) { return entry.second.learntAt + m_lifetime <= now; });
+    absl::erase_if(m_entries, [&](const auto &entry) { return entry.second.learnedAt + m_lifetime <= now; });
 }
 
 } // namespace ApricotStep
--- a/coordination/handoffs.h
+++ b/coordination/handoffs.h
@@ -26,7 +26,7 @@
 private:
     struct Entry
     {
-        Time learntAt;
+        Time learnedAt;
         std::vector<NodeId> successors;
     };
 
--- a/coordination/idempotencykey.cpp
+++ b/coordination/idempotencykey.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t FieldCount = 6;
 constexpr std::size_t MaxLength = 512;
 
-Error notMinted()
+Error invalidKeyError()
 {
     return { ErrorKind::KeyInvalid, "ask POST /v1/keys for a key and send it unchanged" };
 }
@@ -37,16 +37,16 @@
     const std::size_t last = text.rfind('.');
     if (text.size() > MaxLength || last == std::string_view::npos
         || !equalConstantTime(hmacHex(secret, text.substr(0, last)), text.substr(last + 1))) {
-        return notMinted();
+        return invalidKeyError();
     }
     const std::vector<std::string> fields = absl::StrSplit(std::string(text), '.');
     IdempotencyKey key;
     std::uint64_t incarnation = 0;
     std::int64_t mintedAt = 0;
-    const bool isWhole = fields.size() == FieldCount && fields[0] == Prefix && absl::SimpleAtoi(fields[2], &incarnation)
+    const bool isComplete = fields.size() == FieldCount && fields[0] == Prefix && absl::SimpleAtoi(fields[2], &incarnation)
         && absl::SimpleAtoi(fields[3], &mintedAt) && absl::SimpleAtoi(fields[4], &key.counter);
-    if (!isWhole) {
-        return notMinted();
+    if (!isComplete) {
+        return invalidKeyError();
     }
     key.node = NodeId(fields[1]);
     key.incarnation = Incarnation(incarnation);
--- a/coordination/ledger.cpp
+++ b/coordination/ledger.cpp
@@ -168,9 +168,9 @@
 {
     absl::erase_if(d->entries, [&](const auto &entry) {
         const bool isOver = entry.second.state == EntryState::Answered || entry.second.state == EntryState::Unknown;
-        const bool isGone = isOver && entry.second.mintedAt + d->lifetime <= now;
-        d->bytes -= isGone ? d->charge(entry.second) : 0;
-        return isGone;
+        const bool isExpired = isOver && entry.second.mintedAt + d->lifetime <= now;
+        d->bytes -= isExpired ? d->charge(entry.second) : 0;
+        return isExpired;
     });
 }
 
@@ -207,14 +207,14 @@
     Incarnation incarnation;
     Time sealedAt;
     Duration lifetime;
-    Time cameAt;
+    Time receivedAt;
     std::size_t bytes = 0;
     absl::flat_hash_map<std::uint64_t, LedgerRecord> records;
 
     // The time on the clock of the start that left, had it gone on.
-    Time theirTime(Time now) const
+    Time originTime(Time now) const
     {
-        return sealedAt + (now - cameAt);
+        return sealedAt + (now - receivedAt);
     }
 };
 
@@ -225,7 +225,7 @@
     d->incarnation = ledger.incarnation;
     d->sealedAt = ledger.sealedAt;
     d->lifetime = ledger.lifetime;
-    d->cameAt = now;
+    d->receivedAt = now;
     for (LedgerRecord &record : ledger.records) {
         d->bytes += EntryBytes + answerBytes(record.answer);
         d->records.emplace(record.counter, std::move(record));
@@ -238,7 +238,7 @@
 
 LedgerDecision InheritedLedger::accept(const IdempotencyKey &key, const std::string &bodyHash, Time now) const
 {
-    if (key.mintedAt + d->lifetime <= d->theirTime(now)) {
+    if (key.mintedAt + d->lifetime <= d->originTime(now)) {
         return RefuseKey { ErrorKind::KeyExpired };
     }
     const auto at = d->records.find(key.counter);
@@ -256,12 +256,12 @@
 
 bool InheritedLedger::isOver(Time now) const
 {
-    return now - d->cameAt >= d->lifetime;
+    return now - d->receivedAt >= d->lifetime;
 }
 
 SealedLedger InheritedLedger::handOver(Time now) const
 {
-    SealedLedger ledger { d->node, d->incarnation, d->theirTime(now), d->lifetime, {} };
+    SealedLedger ledger { d->node, d->incarnation, d->originTime(now), d->lifetime, {} };
     for (const auto &[counter, record] : d->records) {
         ledger.records.push_back(record);
     }
