--- a/coordination/outlierdetector.cpp
+++ b/coordination/outlierdetector.cpp
@@ -11,18 +11,18 @@
 {
 
 // Weight of the newest outcome in the recent share of failures: about the last ten count.
-constexpr double Newest = 0.1;
+constexpr double NewestWeight = 0.1;
 
-struct Watched
+struct UpstreamState
 {
-    int failuresInRow = 0;
+    int consecutiveFailures = 0;
     /** Recent share of failures, 0 to 1. */
-    double failing = 0;
+    double failureRate = 0;
     int ejections = 0;
     /** Ejected before this. */
     Time ejectedUntil;
     /** The ramp starts here; Time() when there is none. */
-    Time returnedAt;
+    Time slowStartAt;
     /** Since when it has been free of ejection; a long good time forgives. */
     Time lastEjectionEnd;
     Time unreachableUntil;
@@ -33,30 +33,30 @@
 struct OutlierDetector::Private
 {
     OutlierLimits limits;
-    absl::flat_hash_map<UpstreamId, Watched> watched;
+    absl::flat_hash_map<UpstreamId, UpstreamState> states;
 
     int ejectedCount(Time now) const
     {
         return static_cast<int>(
-            std::count_if(watched.begin(), watched.end(), [now](const auto &entry) { return now < entry.second.ejectedUntil; }));
+            std::count_if(states.begin(), states.end(), [now](const auto &entry) { return now < entry.second.ejectedUntil; }));
     }
     bool mayEjectOneMore(Time now) const
     {
-        const auto most = static_cast<int>(limits.maxEjectedShare * static_cast<double>(watched.size()));
-        return ejectedCount(now) < std::max(most, watched.size() > 1 ? 1 : 0);
+        const auto maxEjected = static_cast<int>(limits.maxEjectedShare * static_cast<double>(states.size()));
+        return ejectedCount(now) < std::max(maxEjected, states.size() > 1 ? 1 : 0);
     }
     // Ejected ones are left out: their share is old news and would make the next seem no worse than usual.
-    bool isWorseThanOthers(const Watched &suspect, Time now) const
+    bool isWorseThanOthers(const UpstreamState &candidate, Time now) const
     {
         double sum = 0;
         int others = 0;
-        for (const auto &[id, entry] : watched) {
-            if (&entry != &suspect && now >= entry.ejectedUntil) {
-                sum += entry.failing;
+        for (const auto &[id, entry] : states) {
+            if (&entry != &candidate && now >= entry.ejectedUntil) {
+                sum += entry.failureRate;
                 ++others;
             }
         }
-        return others > 0 && suspect.failing >= sum / others + limits.failureRateMargin;
+        return others > 0 && candidate.failureRate >= sum / others + limits.failureRateMargin;
     }
     Duration ejectionTime(int ejections) const
     {
@@ -64,7 +64,7 @@
         return std::min(Duration(limits.baseEjectionTime.milliseconds() << std::min(ejections, MaxDoublings)), limits.maxEjectionTime);
     }
     // Called before each outcome: an upstream that stayed well for as long as the longest ejection starts afresh.
-    void forgive(Watched &entry, Time now) const
+    void resetOldEjections(UpstreamState &entry, Time now) const
     {
         if (entry.ejections > 0 && now > entry.lastEjectionEnd + limits.maxEjectionTime) {
             entry.ejections = 0;
@@ -84,83 +84,83 @@
 
 void OutlierDetector::setUpstreams(const std::vector<UpstreamId> &upstreams)
 {
-    absl::flat_hash_map<UpstreamId, Watched> kept;
+    absl::flat_hash_map<UpstreamId, UpstreamState> kept;
     for (const UpstreamId &id : upstreams) {
-        const auto at = d->watched.find(id);
-        kept.emplace(id, at == d->watched.end() ? Watched {} : at->second);
+        const auto at = d->states.find(id);
+        kept.emplace(id, at == d->states.end() ? UpstreamState {} : at->second);
     }
-    d->watched = std::move(kept);
+    d->states = std::move(kept);
 }
 
 void OutlierDetector::remove(const UpstreamId &upstream)
 {
-    d->watched.erase(upstream);
+    d->states.erase(upstream);
 }
 
 void OutlierDetector::onUnreachable(const UpstreamId &upstream, Time now)
 {
     onFailure(upstream, now);
-    d->watched[upstream].unreachableUntil = now + d->limits.unreachableBackoff;
+    d->states[upstream].unreachableUntil = now + d->limits.unreachableBackoff;
 }
 
 bool OutlierDetector::isReachable(const UpstreamId &upstream, Time now) const
 {
-    const auto at = d->watched.find(upstream);
-    return at == d->watched.end() || now >= at->second.unreachableUntil;
+    const auto at = d->states.find(upstream);
+    return at == d->states.end() || now >= at->second.unreachableUntil;
 }
 
 void OutlierDetector::onSuccess(const UpstreamId &upstream, Time now)
 {
-    Watched &entry = d->watched[upstream];
-    d->forgive(entry, now);
-    entry.failuresInRow = 0;
-    entry.failing -= entry.failing * Newest;
+    UpstreamState &entry = d->states[upstream];
+    d->resetOldEjections(entry, now);
+    entry.consecutiveFailures = 0;
+    entry.failureRate -= entry.failureRate * NewestWeight;
 }
 
 void OutlierDetector::onFailure(const UpstreamId &upstream, Time now)
 {
-    Watched &entry = d->watched[upstream];
-    d->forgive(entry, now);
-    ++entry.failuresInRow;
-    entry.failing += (1 - entry.failing) * Newest;
+    UpstreamState &entry = d->states[upstream];
+    d->resetOldEjections(entry, now);
+    ++entry.consecutiveFailures;
+    entry.failureRate += (1 - entry.failureRate) * NewestWeight;
     // One that just returned has no credit: a single failure of the first trial ejects it again.
-    const bool isOnTrial = entry.returnedAt != Time() && now < entry.returnedAt + d->limits.slowStartTime;
-    const bool isOut = entry.failuresInRow >= d->limits.failuresToEject || (isOnTrial && entry.ejections > 0);
-    if (!isOut || now < entry.ejectedUntil || !d->mayEjectOneMore(now) || !d->isWorseThanOthers(entry, now)) {
+    const bool isInSlowStart = entry.slowStartAt != Time() && now < entry.slowStartAt + d->limits.slowStartTime;
+    const bool isOutlier = entry.consecutiveFailures >= d->limits.failuresToEject || (isInSlowStart && entry.ejections > 0);
+    if (!isOutlier || now < entry.ejectedUntil || !d->mayEjectOneMore(now) || !d->isWorseThanOthers(entry, now)) {
         return;
     }
     entry.ejectedUntil = now + d->ejectionTime(entry.ejections);
     entry.lastEjectionEnd = entry.ejectedUntil;
-    entry.returnedAt = entry.ejectedUntil;
-    entry.failuresInRow = 0;
+    entry.slowStartAt = entry.ejectedUntil;
+    entry.consecutiveFailures = 0;
     ++entry.ejections;
 }
 
 void OutlierDetector::onRestart(const UpstreamId &upstream, Time now)
 {
-    Watched &entry = d->watched[upstream];
+    UpstreamState &entry = d->states[upstream];
     if (now >= entry.ejectedUntil) {
-        entry.returnedAt = now;
+        entry.slowStartAt = now;
     }
 }
 
 bool OutlierDetector::isEjected(const UpstreamId &upstream, Time now) const
 {
-    const auto at = d->watched.find(upstream);
-    return at != d->watched.end() && now < at->second.ejectedUntil;
+    const auto at = d->states.find(upstream);
+    return at != d->states.end() && now < at->second.ejectedUntil;
 }
 
 double OutlierDetector::share(const UpstreamId &upstream, Time now) const
 {
-    const auto at = d->watched.find(upstream);
-    if (at == d->watched.end() || (at->second.returnedAt == Time() && now >= at->second.ejectedUntil)) {
+    const auto at = d->states.find(upstream);
+    if (at == d->states.end() || (at->second.slowStartAt == Time() && now >= at->second.ejectedUntil)) {
         return 1;
     }
     if (now < at->second.ejectedUntil) {
         return 0;
     }
-    const double grown = (now - at->second.returnedAt).toSeconds() / std::max(d->limits.slowStartTime.toSeconds(), 0.001);
-    return std::clamp(grown, d->limits.slowStartShare, 1.0);
+    const double progress = (now - at->second.slowStartAt).toSeconds() / std::max(d->limits.slowStartTime.toSeconds(), 0.001);
+    return std::clamp(progress, d->limits.slowStartShare, 1.0);
 }
 
 int OutlierDetector::ejectedCount(Time now) const
