--- a/coordination/ownership.cpp
+++ b/coordination/ownership.cpp
@@ -29,16 +29,16 @@
     /** When the upstream was first known to hold the token as its highest, without a break since. */
     Time claimedAt = Time::never();
     /** Earliest moment that the newest report speaks of in which the token was the highest. */
-    Time heldAt;
+    Time confirmedAt;
     /** The newest report; empty inUse when none came. */
     OwnershipReport report;
     bool hasReport = false;
-    bool isAsking = false;
+    bool isPolling = false;
     bool isClaiming = false;
     Time claimSentAt;
     /** Nothing was ever ordered there since the upstream started, so no former owner can act. */
     bool isUntouched = false;
-    Time nextAsk;
+    Time nextPoll;
     std::optional<EvictionRule> rule;
     std::vector<OwnershipAction> actions;
 
@@ -49,26 +49,26 @@
     void on(const ClaimFailed &event, Time now);
     void on(const OrderFenced &event, Time now);
 
-    void giveUp();
+    void relinquish();
     void claimAbove(FencingToken highest, Time now);
-    void askWhenDue(Time now);
-    void tellRule(Time now);
-    bool isViewGood(Time now) const;
-    bool isHeld(Time now) const;
+    void pollWhenDue(Time now);
+    void reportRuleChange(Time now);
+    bool isViewCurrent(Time now) const;
+    bool isLeaseValid(Time now) const;
     bool isSettled(Time now) const;
     bool mayEvictAny(Time now) const;
     bool isInUse(const AdapterKey &adapter) const;
 };
 
 // A node that was paused finds its own view of a moment ago here; the gap tells.
-bool UpstreamOwnership::Private::isViewGood(Time now) const
+bool UpstreamOwnership::Private::isViewCurrent(Time now) const
 {
     return view.isOwner && view.isFresh && now - viewAt < limits.viewMaxAge;
 }
 
-bool UpstreamOwnership::Private::isHeld(Time now) const
+bool UpstreamOwnership::Private::isLeaseValid(Time now) const
 {
-    return claimedAt != Time::never() && now - heldAt < limits.lease;
+    return claimedAt != Time::never() && now - confirmedAt < limits.lease;
 }
 
 bool UpstreamOwnership::Private::isSettled(Time now) const
@@ -76,7 +76,7 @@
     return claimedAt != Time::never() && now - claimedAt >= limits.settleTime();
 }
 
-void UpstreamOwnership::Private::giveUp()
+void UpstreamOwnership::Private::relinquish()
 {
     ownedSince = Time::never();
     claimedAt = Time::never();
@@ -106,32 +106,32 @@
     view = event;
     viewAt = now;
     if (!event.isOwner) {
-        giveUp();
+        relinquish();
         return;
     }
     // Not giving up on a stale view: when nobody else has claimed the upstream meanwhile, the next report says so.
     if (event.isFresh && ownedSince == Time::never()) {
         ownedSince = now;
-        nextAsk = now;
+        nextPoll = now;
     }
     if (hasNewNumber && hasReport && event.isFresh) {
         claimAbove(std::max(token, report.highest.value_or(FencingToken())), now);
     }
-    askWhenDue(now);
+    pollWhenDue(now);
 }
 
-void UpstreamOwnership::Private::askWhenDue(Time now)
+void UpstreamOwnership::Private::pollWhenDue(Time now)
 {
-    if (ownedSince != Time::never() && !isAsking && now >= nextAsk) {
-        isAsking = true;
-        nextAsk = now + limits.pollInterval;
+    if (ownedSince != Time::never() && !isPolling && now >= nextPoll) {
+        isPolling = true;
+        nextPoll = now + limits.pollInterval;
         actions.emplace_back(RequestReport {});
     }
 }
 
 void UpstreamOwnership::Private::on(const OwnershipReport &event, Time now)
 {
-    isAsking = false;
+    isPolling = false;
     if (ownedSince == Time::never()) {
         return;
     }
@@ -151,16 +151,16 @@
         if (isFirst) {
             claimAbove(highest, now);
         }
-        heldAt = event.takenAt;
+        confirmedAt = event.takenAt;
         return;
     }
     if (highest == token && token != FencingToken()) {
         claimedAt = std::min(claimedAt, now);
-        heldAt = std::max(heldAt, event.takenAt);
+        confirmedAt = std::max(confirmedAt, event.takenAt);
         isClaiming = false;
     } else if (highest < token && !isFirst && (isClaiming || (claimedAt != Time::never() && event.takenAt < claimedAt))) {
         return; // The claim is on its way, or the report may speak of the time before it.
-    } else if (isViewGood(now)) {
+    } else if (isViewCurrent(now)) {
         // Somebody else claimed it, or the upstream restarted and forgot. Both sides of a partition may claim in turn; each then serves
         // what is loaded, and neither holds its claim for long enough to evict.
         claimAbove(std::max(token, highest), now);
@@ -172,7 +172,7 @@
 
 void UpstreamOwnership::Private::on(const ReportFailed &, Time)
 {
-    isAsking = false;
+    isPolling = false;
 }
 
 void UpstreamOwnership::Private::on(const ClaimAccepted &event, Time now)
@@ -182,30 +182,30 @@
     }
     isClaiming = false;
     claimedAt = now;
-    heldAt = claimSentAt;
+    confirmedAt = claimSentAt;
 }
 
 void UpstreamOwnership::Private::on(const ClaimFailed &, Time now)
 {
     isClaiming = false;
-    nextAsk = now;
+    nextPoll = now;
 }
 
 void UpstreamOwnership::Private::on(const OrderFenced &, Time now)
 {
     claimedAt = Time::never();
     isClaiming = false;
-    nextAsk = now;
+    nextPoll = now;
 }
 
 bool UpstreamOwnership::Private::mayEvictAny(Time now) const
 {
-    if (!isViewGood(now) || !isHeld(now) || !isSettled(now) || !hasReport) {
+    if (!isViewCurrent(now) || !isLeaseValid(now) || !isSettled(now) || !hasReport) {
         return false;
     }
-    const bool isReportLater = report.takenAt >= claimedAt + limits.settleTime();
-    const bool isInDoubt = !report.highest.has_value() && now - missingSince < limits.settleTime();
-    return isReportLater && !isInDoubt;
+    const bool isReportAfterSettling = report.takenAt >= claimedAt + limits.settleTime();
+    const bool isOwnerUncertain = !report.highest.has_value() && now - missingSince < limits.settleTime();
+    return isReportAfterSettling && !isOwnerUncertain;
 }
 
 bool UpstreamOwnership::Private::isInUse(const AdapterKey &adapter) const
@@ -213,7 +213,7 @@
     return std::find(report.inUse.begin(), report.inUse.end(), adapter) != report.inUse.end();
 }
 
-void UpstreamOwnership::Private::tellRule(Time now)
+void UpstreamOwnership::Private::reportRuleChange(Time now)
 {
     EvictionRule next { mayEvictAny(now), report.inUse };
     if (!rule.has_value() || rule->mayEvict != next.mayEvict || rule->inUseElsewhere != next.inUseElsewhere) {
@@ -235,14 +235,14 @@
 {
     d->actions.clear();
     std::visit([&](const auto &what) { d->on(what, now); }, event);
-    d->tellRule(now);
+    d->reportRuleChange(now);
     return std::move(d->actions);
 }
 
 bool UpstreamOwnership::mayDispatch(Time now) const
 {
     // A stale view may not know yet that the upstream is leaving.
-    if (!d->isViewGood(now) || !d->isHeld(now)) {
+    if (!d->isViewCurrent(now) || !d->isLeaseValid(now)) {
         return false;
     }
     // Where old tokens are not refused, a former owner may still evict until the settle time is over.
@@ -251,7 +251,7 @@
 
 std::optional<FencingToken> UpstreamOwnership::loadToken(Time now) const
 {
-    if (!d->isViewGood(now) || !d->isHeld(now)) {
+    if (!d->isViewCurrent(now) || !d->isLeaseValid(now)) {
         return std::nullopt;
     }
     return d->token;
