--- a/coordination/attempt.cpp
+++ b/coordination/attempt.cpp
@@ -51,9 +51,9 @@
     if (!isSafeToRetry(failure, facts) || isFinal(failure.kind) || facts.attempts >= limits.maxAttempts) {
         return giveUp;
     }
-    const bool toOther = facts.hasOtherUpstream && !failure.isAdapterMissing;
+    const bool isOtherUpstream = facts.hasOtherUpstream && !failure.isAdapterMissing;
     // A reload goes back through the queue at once; all that wait for it share one load.
-    const Duration delay = toOther || failure.isAdapterMissing ? Duration(0) : jitteredPause(facts.attempts, limits, random);
+    const Duration delay = isOtherUpstream || failure.isAdapterMissing ? Duration(0) : jitteredPause(facts.attempts, limits, random);
     if (now + delay >= facts.deadline) {
         return giveUp;
     }
@@ -61,7 +61,7 @@
     if (!failure.isAdapterMissing && !budget.take(now)) {
         return giveUp;
     }
-    return TryAgain { toOther ? RetryTarget::OtherUpstream : RetryTarget::SameUpstream, delay };
+    return TryAgain { isOtherUpstream ? RetryTarget::OtherUpstream : RetryTarget::SameUpstream, delay };
 }
 
 Duration timeLeft(Time deadline, Time now)
--- a/coordination/rendezvous.cpp
+++ b/coordination/rendezvous.cpp
@@ -44,8 +44,8 @@
 
 const NodeView *ownerOf(const UpstreamId &upstream, const ZoneId &zone, const std::vector<NodeView> &nodes)
 {
-    const NodeView *near = best(upstream, &zone, nodes);
-    return near != nullptr ? near : best(upstream, nullptr, nodes);
+    const NodeView *sameZoneNode = best(upstream, &zone, nodes);
+    return sameZoneNode != nullptr ? sameZoneNode : best(upstream, nullptr, nodes);
 }
 
 } // namespace ApricotStep
--- a/coordination/upstreamchoice.h
+++ b/coordination/upstreamchoice.h
@@ -27,9 +27,9 @@
     /** What outliers leave it of its share: 0 ejected, 1 well. */
     double share = 1;
     /** In this node's availability zone. */
-    bool isNear = false;
+    bool isSameZone = false;
     /** Tokens of the prompt that it has probably read before and keeps. */
-    double keptTokens = 0;
+    double cachedTokens = 0;
 };
 
 struct ChoiceParameters
@@ -39,7 +39,7 @@
     /** What one running request adds to the first token of another, ms. */
     double runningCostMs = 4;
     /** A request in an upstream of another zone costs as much as this part of a place more. */
-    double farCost = 0.3;
+    double otherZoneCost = 0.3;
 };
 
 /**
@@ -52,13 +52,14 @@
 void creditSharedPrefix(std::vector<UpstreamOption> &options, std::string_view sharedPrefix, std::uint32_t sharedTokens);
 
 /** How long a prompt of @p promptTokens would wait for its first token at @p option. */
-Duration expectedTimeToFirstToken(const UpstreamOption &option, std::uint32_t promptTokens, const ChoiceParameters &figures);
+Duration expectedTimeToFirstToken(const UpstreamOption &option, std::uint32_t promptTokens, const ChoiceParameters &parameters);
 
 /** The engine with the earliest first token, by chance among equals; null when there is none. Ejected ones only if all are. */
 const UpstreamOption *chooseEngine(
-    const std::vector<UpstreamOption> &options, std::uint32_t promptTokens, const ChoiceParameters &figures, std::mt19937_64 &random);
+    const std::vector<UpstreamOption> &options, std::uint32_t promptTokens, const ChoiceParameters &parameters, std::mt19937_64 &random);
 
 /** The upstream of a plain service with the most room, by chance among equals; null when there is none. Ejected ones only if all are. */
-const UpstreamOption *chooseService(const std::vector<UpstreamOption> &options, const ChoiceParameters &figures, std::mt19937_64 &random);
+const UpstreamOption *chooseService(
+    const std::vector<UpstreamOption> &options, const ChoiceParameters &parameters, std::mt19937_64 &random);
 
 } // namespace ApricotStep
--- a/coordination/upstreamdirectory.cpp
+++ b/coordination/upstreamdirectory.cpp
@@ -23,7 +23,7 @@
         return { UpstreamStarted { record } };
     }
     Entry &entry = at->second;
-    entry.goneAt = Time::never();
+    entry.removeAt = Time::never();
     if (entry.record == record) {
         return {};
     }
@@ -49,7 +49,7 @@
         return {};
     }
     if (now < m_graceUntil && !at->second.record.isLeaving) {
-        at->second.goneAt = std::min(at->second.goneAt, m_graceUntil);
+        at->second.removeAt = std::min(at->second.removeAt, m_graceUntil);
         return {};
     }
     m_entries.erase(at);
@@ -65,7 +65,7 @@
 {
     std::vector<UpstreamChange> changes;
     for (auto at = m_entries.begin(); at != m_entries.end();) {
-        if (knownUntil < at->second.goneAt) {
+        if (knownUntil < at->second.removeAt) {
             ++at;
             continue;
         }
--- a/coordination/upstreamdirectory.h
+++ b/coordination/upstreamdirectory.h
@@ -79,7 +79,7 @@
     {
         UpstreamRecord record;
         /** Missing from the store; gone if the store does not list it at this moment either. */
-        Time goneAt = Time::never();
+        Time removeAt = Time::never();
     };
 
     bool isUsable(const Entry &entry) const;
--- a/coordination/upstreamloadtracker.cpp
+++ b/coordination/upstreamloadtracker.cpp
@@ -49,7 +49,7 @@
 void UpstreamLoadTracker::add(const std::vector<UpstreamLoad> &loads)
 {
     for (const UpstreamLoad &load : loads) {
-        FleetLoad &sum = m_ofPeers[load.upstream];
+        FleetLoad &sum = m_peerTotals[load.upstream];
         sum.running += load.running;
         sum.pendingTokens += load.pendingTokens;
     }
@@ -58,20 +58,20 @@
 void UpstreamLoadTracker::subtract(const std::vector<UpstreamLoad> &loads)
 {
     for (const UpstreamLoad &load : loads) {
-        const auto at = m_ofPeers.find(load.upstream);
-        if (at == m_ofPeers.end()) {
+        const auto at = m_peerTotals.find(load.upstream);
+        if (at == m_peerTotals.end()) {
             continue; // Named twice with nothing running.
         }
         at->second.running -= load.running;
         at->second.pendingTokens -= load.pendingTokens;
         // Whole numbers below 2^53 add and subtract exactly, so an empty sum is an exact zero.
         if (at->second.running == 0 && at->second.pendingTokens == 0) {
-            m_ofPeers.erase(at);
+            m_peerTotals.erase(at);
         }
     }
 }
 
-void UpstreamLoadTracker::forgetSilent(Time now)
+void UpstreamLoadTracker::removeStalePeers(Time now)
 {
     if (now - m_sweptAt < SweepInterval) {
         return;
@@ -79,7 +79,7 @@
     m_sweptAt = now;
     for (auto at = m_peers.begin(); at != m_peers.end();) {
         const auto current = at++;
-        if (now - current->second.heardAt > PeerTimeout) {
+        if (now - current->second.receivedAt > PeerTimeout) {
             subtract(current->second.loads);
             m_peers.erase(current);
         }
@@ -88,11 +88,11 @@
 
 FleetLoad UpstreamLoadTracker::load(const UpstreamId &upstream, Time now)
 {
-    forgetSilent(now);
+    removeStalePeers(now);
     FleetLoad sum;
-    const auto ofPeers = m_ofPeers.find(upstream);
-    if (ofPeers != m_ofPeers.end()) {
-        sum = ofPeers->second;
+    const auto peerTotal = m_peerTotals.find(upstream);
+    if (peerTotal != m_peerTotals.end()) {
+        sum = peerTotal->second;
     }
     const auto own = m_own.find(upstream);
     if (own != m_own.end()) {
--- a/coordination/upstreamloadtracker.h
+++ b/coordination/upstreamloadtracker.h
@@ -45,19 +45,19 @@
 private:
     struct Peer
     {
-        Time heardAt;
+        Time receivedAt;
         std::vector<UpstreamLoad> loads;
     };
 
     void add(const std::vector<UpstreamLoad> &loads);
     void subtract(const std::vector<UpstreamLoad> &loads);
     /** Takes out peers that fell silent. */
-    void forgetSilent(Time now);
+    void removeStalePeers(Time now);
 
     absl::btree_map<UpstreamId, UpstreamLoad> m_own;
     absl::flat_hash_map<NodeId, Peer> m_peers;
     /** What all peers together have at each upstream. */
-    absl::flat_hash_map<UpstreamId, FleetLoad> m_ofPeers;
+    absl::flat_hash_map<UpstreamId, FleetLoad> m_peerTotals;
     Time m_sweptAt;
 };
 
--- a/tests/coordination/testupstreamdirectory.cpp
+++ b/tests/coordination/testupstreamdirectory.cpp
@@ -189,7 +189,7 @@
     cr_assert_gt(kept, Requests * 9 / 10);
     std::vector<UpstreamOption> crowded { { &records[0], { 0, 0 }, 1, true }, { &records[1], { 0, 0 }, 1, true } };
     creditSharedPrefix(crowded, "p", 6300);
-    UpstreamOption &home = crowded[0].keptTokens > 0 ? crowded[0] : crowded[1];
+    UpstreamOption &home = crowded[0].cachedTokens > 0 ? crowded[0] : crowded[1];
     home.load.pendingTokens = 20'000;
     cr_assert_neq(chooseEngine(crowded, 9200, {}, random)->record, home.record, "a queue longer than the reading sends it elsewhere");
 }
