--- a/coordination/upstreamscheduler.cpp
+++ b/coordination/upstreamscheduler.cpp
@@ -18,45 +18,45 @@
 {
 
 // More permits at once than this would only take turns from other engines.
-constexpr int MaxAsks = 4;
+constexpr int MaxPermitRequests = 4;
 // A permit is asked for again when nothing came, since the message or the giver may be lost.
-constexpr Duration AskAgainAfter { 2000 };
+constexpr Duration PermitRequestTimeout { 2000 };
 // Weight of the newest sample in a moving average.
 constexpr double NewestWeight = 0.1;
 constexpr double NewestIntervalWeight = 0.3;
 // Patient work is held for a fuller batch for this part of its allowance at most, at a batch share of 1.
-constexpr double MaxHoldPart = 0.1;
+constexpr double MaxHoldFraction = 0.1;
 // The wait of a load that started this long ago says something of the next one's.
-constexpr Duration LoadWaitMemory { 2000 };
+constexpr Duration LoadWaitMaxAge { 2000 };
 // The part of its allowance that an urgent request is let in to wait for a load, at a stall share of 1 and of 0. Under a burst the loads
 // serve as many either way; a short queue serves them sooner and tells the rest at once.
-constexpr double ShortLoadWait = 0.15;
-constexpr double LongLoadWait = 1.0;
+constexpr double MinLoadWaitFraction = 0.15;
+constexpr double MaxLoadWaitFraction = 1.0;
 constexpr Duration MinRetryAfter { 1000 };
 constexpr Duration MaxRetryAfter { 60'000 };
 // Callers that are refused together are told to come back spread over this part of the wait, in hundredths.
 constexpr int RetrySpreadPercent = 25;
 // An adapter is fetched ahead of need when it was asked for at least twice of late, and twice as often as the one that goes for it.
-constexpr double PrefetchUses = 2.0;
-constexpr double PrefetchAdvantage = 1.0;
+constexpr double MinPrefetchUses = 2.0;
+constexpr double MinPrefetchScoreLead = 1.0;
 
 struct Running
 {
     WorkItem item;
     Time dispatchedAt;
-    std::uint64_t start = 0;
+    std::uint64_t engineStart = 0;
 };
 
-struct Ask
+struct SentPermitRequest
 {
     std::optional<Priority> urgency;
     int waiting = 0;
-    Time askedAt;
+    Time requestedAt;
 };
 
 struct HeldPermit
 {
-    AdapterKey askedFor;
+    AdapterKey requestedFor;
     Time expiry;
 };
 
@@ -100,9 +100,9 @@
         , engineSlots(residencyLimits(theLimits))
         , order(orderLimits(theLimits), theLimits.seed)
         , batchShare(batchShareOf(theLimits))
-        , keptSeats(theLimits.batch * theLimits.urgentSeatsPercent / 100)
+        , reservedSeats(theLimits.batch * theLimits.urgentSeatsPercent / 100)
         , publishedBatch(theLimits.batch)
-        , keptSlots(theLimits.slots * theLimits.urgentSlotsPercent / 100)
+        , reservedSlots(theLimits.slots * theLimits.urgentSlotsPercent / 100)
     {
     }
 
@@ -113,13 +113,13 @@
     absl::flat_hash_map<RequestId, Running> running;
     // Seats taken by requests of the engine's present start; those of an earlier one hold no seat there.
     int seats = 0;
-    int othersSeats = 0;
-    std::uint64_t start = 0;
+    int nonUrgentSeats = 0;
+    std::uint64_t engineStart = 0;
     double batchShare;
-    int keptSeats;
+    int reservedSeats;
     int publishedBatch;
-    int keptSlots;
-    bool isPatientOpen = false;
+    int reservedSlots;
+    bool isReleasingPatient = false;
     // Tokens a millisecond that one seat has served lately; 0 until measured.
     double seatRate = 0;
     // How long the last load at each level had been waited for when it started, and when that was.
@@ -129,7 +129,7 @@
     std::array<Duration, QueueLevelCount> permitWait {};
     std::array<Time, QueueLevelCount> permitWaitAt {};
     std::vector<HeldPermit> permits;
-    absl::flat_hash_map<AdapterKey, Ask> asks;
+    absl::flat_hash_map<AdapterKey, SentPermitRequest> sentPermitRequests;
     // Which permit a load in flight was started with, by the adapter it loads.
     absl::flat_hash_map<AdapterKey, AdapterKey> usedPermits;
     int loadsInFlight = 0;
@@ -153,22 +153,22 @@
     Duration expectedLoadWait(const AdapterKey &adapter, QueueLevel level, Time now) const;
     void refuse(const WorkItem &item, ErrorKind kind, Duration wait);
     void refuseAll(const std::vector<WorkItem> &items, ErrorKind kind, Duration wait);
-    void leaveQueue(const WorkItem &item);
+    void unpinQueued(const WorkItem &item);
     void refreshAdapter(const AdapterKey &adapter, Time now);
-    void ageQueue(Time now);
-    void refuseLate(Time now);
-    bool mayPatientLeave(Time now);
+    void promoteQueue(Time now);
+    void refuseExpired(Time now);
+    bool mayDispatchPatient(Time now);
     std::optional<QueueLevel> lowestLevel(Time now);
     void dispatchReady(Time now);
     void returnExpiredPermits(Time now);
     int loadBudget() const;
     bool maySlotBeTaken(const AdapterKey &adapter) const;
-    bool makeRoom(const AdapterKey &adapter, int &slotsComing, Time now);
+    bool makeRoom(const AdapterKey &adapter, int &slotsBeingFreed, Time now);
     void startLoads(Time now);
     void startLoad(const AdapterKey &adapter, Time now);
-    void noteLoadStart(const AdapterKey &adapter, Time now);
-    void askPermits(Time now);
-    void askPermit(const AdapterKey &adapter, const Ask &ask, Duration waited);
+    void recordLoadStart(const AdapterKey &adapter, Time now);
+    void requestPermits(Time now);
+    void requestPermit(const AdapterKey &adapter, const SentPermitRequest &sentRequest, Duration waited);
     std::optional<AdapterKey> prefetchTarget(Time now) const;
     void prefetch(Time now);
 };
@@ -181,8 +181,8 @@
     if (!waitsForLoad) {
         return left;
     }
-    const double part = ShortLoadWait + (LongLoadWait - ShortLoadWait) * batchShare;
-    const Duration shortened(static_cast<std::int64_t>(static_cast<double>(left.milliseconds()) * part));
+    const double fraction = MinLoadWaitFraction + (MaxLoadWaitFraction - MinLoadWaitFraction) * batchShare;
+    const Duration shortened(static_cast<std::int64_t>(static_cast<double>(left.milliseconds()) * fraction));
     return std::min(left, std::max(shortened, limits.loadTime * 2));
 }
 
@@ -205,10 +205,10 @@
         wait = now - *head;
     }
     const auto index = static_cast<std::size_t>(level);
-    if (now - lastLoadStart[index] < LoadWaitMemory) {
+    if (now - lastLoadStart[index] < LoadWaitMaxAge) {
         wait = std::max(wait, lastLoadWait[index]);
     }
-    if (now - permitWaitAt[index] < LoadWaitMemory) {
+    if (now - permitWaitAt[index] < LoadWaitMaxAge) {
         wait = std::max(wait, permitWait[index]);
     }
     return std::max(wait + limits.loadTime, order.remainingBackoff(adapter, now));
@@ -238,12 +238,12 @@
 void UpstreamScheduler::Private::refuseAll(const std::vector<WorkItem> &items, ErrorKind kind, Duration wait)
 {
     for (const WorkItem &item : items) {
-        leaveQueue(item);
+        unpinQueued(item);
         refuse(item, kind, wait);
     }
 }
 
-void UpstreamScheduler::Private::leaveQueue(const WorkItem &item)
+void UpstreamScheduler::Private::unpinQueued(const WorkItem &item)
 {
     engineSlots.removeQueued(item.adapter);
 }
@@ -256,7 +256,7 @@
     const bool mayLoad = !state.has_value() || state == SlotState::Unknown;
     const AdapterDemand demand = mayLoad ? queue.demand(adapter) : AdapterDemand {};
     order.update(adapter, demand, now);
-    if (demand.waiting == 0 && asks.erase(adapter) > 0) {
+    if (demand.waiting == 0 && sentPermitRequests.erase(adapter) > 0) {
         actions.emplace_back(ReleasePermit { adapter, PermitEnd::Withdrawn });
     }
 }
@@ -279,7 +279,7 @@
 void UpstreamScheduler::Private::on(const WorkCancelled &event, Time now)
 {
     if (const auto item = queue.remove(event.id)) {
-        leaveQueue(*item);
+        unpinQueued(*item);
         refreshAdapter(item->adapter, now);
     }
 }
@@ -292,9 +292,9 @@
     }
     const Running &ended = at->second;
     engineSlots.removeRunning(ended.item.adapter);
-    if (ended.start == start) {
+    if (ended.engineStart == engineStart) {
         --seats;
-        othersSeats -= ended.item.priority == Priority::Urgent ? 0 : 1;
+        nonUrgentSeats -= ended.item.priority == Priority::Urgent ? 0 : 1;
         const double took = std::max<double>(1.0, static_cast<double>((now - ended.dispatchedAt).milliseconds()));
         const double rate = ended.item.tokens / took;
         seatRate = seatRate <= 0 ? rate : seatRate + (rate - seatRate) * NewestWeight;
@@ -319,8 +319,8 @@
     }
     // What could still be served by another try keeps its place; the rest learns now that it was not run.
     const auto nextTry = order.onLoadFailed(event.adapter, now);
-    const Time hopeless = nextTry.has_value() ? *nextTry + limits.loadTime : Time::never();
-    refuseAll(queue.takeAdapter(event.adapter, hopeless), ErrorKind::AdapterLoadFailed, order.remainingBackoff(event.adapter, now));
+    const Time minDeadline = nextTry.has_value() ? *nextTry + limits.loadTime : Time::never();
+    refuseAll(queue.takeAdapter(event.adapter, minDeadline), ErrorKind::AdapterLoadFailed, order.remainingBackoff(event.adapter, now));
     refreshAdapter(event.adapter, now);
 }
 
@@ -335,9 +335,9 @@
 void UpstreamScheduler::Private::on(const UpstreamRestarted &, Time now)
 {
     const std::vector<AdapterKey> before = engineSlots.residents();
-    ++start;
+    ++engineStart;
     seats = 0;
-    othersSeats = 0;
+    nonUrgentSeats = 0;
     engineSlots.onRestart();
     for (const AdapterKey &adapter : before) {
         refreshAdapter(adapter, now);
@@ -346,7 +346,7 @@
 
 void UpstreamScheduler::Private::on(const PermitGranted &event, Time)
 {
-    asks.erase(event.adapter);
+    sentPermitRequests.erase(event.adapter);
     permits.push_back({ event.adapter, event.expiry });
 }
 
@@ -367,7 +367,7 @@
 void UpstreamScheduler::Private::on(const BatchLimited &event, Time)
 {
     limits.batch = std::clamp(event.seats, 1, publishedBatch);
-    keptSeats = limits.batch * limits.urgentSeatsPercent / 100;
+    reservedSeats = limits.batch * limits.urgentSeatsPercent / 100;
 }
 
 void UpstreamScheduler::Private::on(const EvictionRule &event, Time)
@@ -379,39 +379,39 @@
 {
 }
 
-void UpstreamScheduler::Private::ageQueue(Time now)
+void UpstreamScheduler::Private::promoteQueue(Time now)
 {
-    for (const AdapterKey &adapter : queue.age(now)) {
+    for (const AdapterKey &adapter : queue.promoteAged(now)) {
         refreshAdapter(adapter, now);
     }
 }
 
-void UpstreamScheduler::Private::refuseLate(Time now)
+void UpstreamScheduler::Private::refuseExpired(Time now)
 {
-    const std::vector<WorkItem> late = queue.takeExpired(now);
-    refuseAll(late, ErrorKind::DeadlinePassed, MinRetryAfter);
-    for (const WorkItem &item : late) {
+    const std::vector<WorkItem> expired = queue.takeExpired(now);
+    refuseAll(expired, ErrorKind::DeadlinePassed, MinRetryAfter);
+    for (const WorkItem &item : expired) {
         refreshAdapter(item.adapter, now);
     }
 }
 
 // Whether patient requests leave now or wait for a fuller batch. Once they leave, all that are ready go.
-bool UpstreamScheduler::Private::mayPatientLeave(Time now)
+bool UpstreamScheduler::Private::mayDispatchPatient(Time now)
 {
     const int ready = queue.readyCount(QueueLevel::Patient);
     if (ready == 0) {
-        isPatientOpen = false;
+        isReleasingPatient = false;
         return false;
     }
     // A held request keeps its adapter's slot, so none is held while another adapter waits for one.
-    if (isPatientOpen || !order.isEmpty() || seats + ready >= batchShare * limits.batch) {
-        isPatientOpen = true;
+    if (isReleasingPatient || !order.isEmpty() || seats + ready >= batchShare * limits.batch) {
+        isReleasingPatient = true;
         return true;
     }
     const WorkItem &oldest = *queue.oldestReadyPatient();
-    const double hold = static_cast<double>((oldest.deadline - oldest.arrival).milliseconds()) * MaxHoldPart * batchShare;
-    isPatientOpen = now - oldest.arrival >= Duration(static_cast<std::int64_t>(hold));
-    return isPatientOpen;
+    const double hold = static_cast<double>((oldest.deadline - oldest.arrival).milliseconds()) * MaxHoldFraction * batchShare;
+    isReleasingPatient = now - oldest.arrival >= Duration(static_cast<std::int64_t>(hold));
+    return isReleasingPatient;
 }
 
 std::optional<QueueLevel> UpstreamScheduler::Private::lowestLevel(Time now)
@@ -419,10 +419,10 @@
     if (seats >= limits.batch) {
         return std::nullopt;
     }
-    if (othersSeats >= limits.batch - keptSeats) {
+    if (nonUrgentSeats >= limits.batch - reservedSeats) {
         return QueueLevel::Urgent;
     }
-    return mayPatientLeave(now) ? QueueLevel::Patient : QueueLevel::Standard;
+    return mayDispatchPatient(now) ? QueueLevel::Patient : QueueLevel::Standard;
 }
 
 void UpstreamScheduler::Private::dispatchReady(Time now)
@@ -433,11 +433,11 @@
             return;
         }
         engineSlots.addRunning(item->adapter);
-        leaveQueue(*item);
+        unpinQueued(*item);
         ++seats;
-        othersSeats += item->priority == Priority::Urgent ? 0 : 1;
+        nonUrgentSeats += item->priority == Priority::Urgent ? 0 : 1;
         actions.emplace_back(Dispatch { item->id });
-        running.emplace(item->id, Running { *item, now, start });
+        running.emplace(item->id, Running { *item, now, engineStart });
     }
 }
 
@@ -447,7 +447,7 @@
         if (permit.expiry > now) {
             return false;
         }
-        actions.emplace_back(ReleasePermit { permit.askedFor, PermitEnd::Unused });
+        actions.emplace_back(ReleasePermit { permit.requestedFor, PermitEnd::Unused });
         return true;
     });
 }
@@ -464,17 +464,17 @@
     const auto demand = order.demand(adapter);
     const bool isUrgent = demand.has_value() && demand->level == QueueLevel::Urgent;
     const bool hasSlot = engineSlots.state(adapter) == SlotState::Unknown;
-    return isUrgent || hasSlot || engineSlots.unpinnedSlots() + engineSlots.evictingCount() > keptSlots;
+    return isUrgent || hasSlot || engineSlots.unpinnedSlots() + engineSlots.evictingCount() > reservedSlots;
 }
 
 // True when @p adapter can be loaded at once. Otherwise sees to it that a slot comes free, if one can.
-bool UpstreamScheduler::Private::makeRoom(const AdapterKey &adapter, int &slotsComing, Time now)
+bool UpstreamScheduler::Private::makeRoom(const AdapterKey &adapter, int &slotsBeingFreed, Time now)
 {
     if (engineSlots.state(adapter) == SlotState::Unknown || engineSlots.freeSlots() > 0) {
         return true;
     }
-    if (slotsComing > 0) {
-        --slotsComing;
+    if (slotsBeingFreed > 0) {
+        --slotsBeingFreed;
         return false;
     }
     const auto demand = order.demand(adapter);
@@ -486,7 +486,7 @@
     return false;
 }
 
-void UpstreamScheduler::Private::noteLoadStart(const AdapterKey &adapter, Time now)
+void UpstreamScheduler::Private::recordLoadStart(const AdapterKey &adapter, Time now)
 {
     if (const auto demand = order.demand(adapter)) {
         const auto index = static_cast<std::size_t>(demand->level);
@@ -498,18 +498,18 @@
 void UpstreamScheduler::Private::startLoad(const AdapterKey &adapter, Time now)
 {
     engineSlots.beginLoad(adapter, now);
-    noteLoadStart(adapter, now);
+    recordLoadStart(adapter, now);
     order.remove(adapter);
     ++loadsInFlight;
     if (limits.needsPermits) {
         // Any permit of this engine serves; its own, if there, keeps the giver's books simple.
-        auto own = std::find_if(permits.begin(), permits.end(), [&](const auto &permit) { return permit.askedFor == adapter; });
+        auto own = std::find_if(permits.begin(), permits.end(), [&](const auto &permit) { return permit.requestedFor == adapter; });
         if (own == permits.end()) {
             own = permits.begin();
         }
-        usedPermits[adapter] = own->askedFor;
+        usedPermits[adapter] = own->requestedFor;
         permits.erase(own);
-        if (asks.erase(adapter) > 0) {
+        if (sentPermitRequests.erase(adapter) > 0) {
             actions.emplace_back(ReleasePermit { adapter, PermitEnd::Withdrawn });
         }
     }
@@ -524,12 +524,12 @@
     if (budget <= 0) {
         return;
     }
-    int slotsComing = engineSlots.evictingCount();
+    int slotsBeingFreed = engineSlots.evictingCount();
     for (const AdapterKey &adapter : order.first(budget)) {
         if (!maySlotBeTaken(adapter)) {
             break;
         }
-        if (makeRoom(adapter, slotsComing, now)) {
+        if (makeRoom(adapter, slotsBeingFreed, now)) {
             startLoad(adapter, now);
         }
     }
@@ -548,9 +548,9 @@
     const double uses = std::exp2(score - engineSlots.singleUseScore(now));
     // The same question as prefetch() asks: a permit that cannot be used would be returned and asked for again without an end.
     const bool hasRoom = engineSlots.freeSlots() > 0 || engineSlots.evictingCount() > 0
-        || engineSlots.evictionVictim(false, now, score - PrefetchAdvantage).has_value();
-    const bool isTried = order.remainingBackoff(*target, now) > Duration();
-    return uses >= PrefetchUses && hasRoom && !isTried ? target : std::nullopt;
+        || engineSlots.evictionVictim(false, now, score - MinPrefetchScoreLead).has_value();
+    const bool isBackingOff = order.remainingBackoff(*target, now) > Duration();
+    return uses >= MinPrefetchUses && hasRoom && !isBackingOff ? target : std::nullopt;
 }
 
 // Uses a permit that no waiting request needs any more, or gives it back so that another engine can.
@@ -562,7 +562,7 @@
         return;
     }
     if (target.has_value() && engineSlots.evictingCount() == 0) {
-        if (const auto victim = engineSlots.beginEviction(false, now, engineSlots.score(*target) - PrefetchAdvantage)) {
+        if (const auto victim = engineSlots.beginEviction(false, now, engineSlots.score(*target) - MinPrefetchScoreLead)) {
             actions.emplace_back(StartEvict { *victim });
         }
     }
@@ -570,23 +570,23 @@
         return;
     }
     for (const HeldPermit &permit : permits) {
-        actions.emplace_back(ReleasePermit { permit.askedFor, PermitEnd::Unused });
+        actions.emplace_back(ReleasePermit { permit.requestedFor, PermitEnd::Unused });
     }
     permits.clear();
 }
 
-void UpstreamScheduler::Private::askPermit(const AdapterKey &adapter, const Ask &ask, Duration waited)
+void UpstreamScheduler::Private::requestPermit(const AdapterKey &adapter, const SentPermitRequest &sentRequest, Duration waited)
 {
-    asks[adapter] = ask;
-    actions.emplace_back(RequestPermit { adapter, ask.urgency, ask.waiting, waited });
+    sentPermitRequests[adapter] = sentRequest;
+    actions.emplace_back(RequestPermit { adapter, sentRequest.urgency, sentRequest.waiting, waited });
 }
 
-void UpstreamScheduler::Private::askPermits(Time now)
+void UpstreamScheduler::Private::requestPermits(Time now)
 {
     if (!limits.needsPermits) {
         return;
     }
-    const int room = std::min(MaxAsks, engineSlots.obtainableSlots());
+    const int room = std::min(MaxPermitRequests, engineSlots.obtainableSlots());
     int held = static_cast<int>(permits.size());
     for (const AdapterKey &adapter : order.first(room)) {
         if (!maySlotBeTaken(adapter)) {
@@ -597,16 +597,16 @@
             continue;
         }
         const AdapterDemand demand = order.demand(adapter).value_or(AdapterDemand {});
-        const auto at = asks.find(adapter);
-        const bool isNews = at == asks.end() || at->second.urgency != demand.priority || demand.waiting >= at->second.waiting * 2
-            || now - at->second.askedAt >= AskAgainAfter;
-        if (isNews) {
-            askPermit(adapter, { demand.priority, demand.waiting, now }, now - demand.oldest);
+        const auto at = sentPermitRequests.find(adapter);
+        const bool hasChanged = at == sentPermitRequests.end() || at->second.urgency != demand.priority
+            || demand.waiting >= at->second.waiting * 2 || now - at->second.requestedAt >= PermitRequestTimeout;
+        if (hasChanged) {
+            requestPermit(adapter, { demand.priority, demand.waiting, now }, now - demand.oldest);
         }
     }
-    if (order.isEmpty() && asks.empty() && permits.empty()) {
+    if (order.isEmpty() && sentPermitRequests.empty() && permits.empty()) {
         if (const auto target = prefetchTarget(now)) {
-            askPermit(*target, { std::nullopt, 0, now }, Duration());
+            requestPermit(*target, { std::nullopt, 0, now }, Duration());
         }
     }
 }
@@ -624,11 +624,11 @@
 {
     d->actions.clear();
     std::visit([&](const auto &what) { d->on(what, now); }, event);
-    d->refuseLate(now);
-    d->ageQueue(now);
+    d->refuseExpired(now);
+    d->promoteQueue(now);
     d->dispatchReady(now);
     d->startLoads(now);
-    d->askPermits(now);
+    d->requestPermits(now);
     return std::move(d->actions);
 }
 
--- a/coordination/workqueue.cpp
+++ b/coordination/workqueue.cpp
@@ -331,7 +331,7 @@
     return taken;
 }
 
-std::vector<AdapterKey> WorkQueue::age(Time now)
+std::vector<AdapterKey> WorkQueue::promoteAged(Time now)
 {
     std::vector<AdapterKey> promoted;
     while (!d->promotions.empty() && d->promotions.begin()->first <= now) {
--- a/coordination/workqueue.h
+++ b/coordination/workqueue.h
@@ -60,7 +60,7 @@
     /** Removes and returns the requests of @p adapter whose deadline is before @p deadlineBefore. */
     std::vector<WorkItem> takeAdapter(const AdapterKey &adapter, Time deadlineBefore);
     /** Promotes what has used most of its allowance; returns the adapters that it is for. */
-    std::vector<AdapterKey> age(Time now);
+    std::vector<AdapterKey> promoteAged(Time now);
 
     AdapterDemand demand(const AdapterKey &adapter) const;
     int size() const;
--- a/tests/coordination/testworkqueue.cpp
+++ b/tests/coordination/testworkqueue.cpp
@@ -77,8 +77,8 @@
     queue.setReady(adapter("a"), true);
     queue.add(item(1, "office", Priority::Patient));
     queue.add(item(2, "other", Priority::Standard));
-    cr_assert_eq(queue.age(Time(74'000)).size(), 0);
-    cr_assert_eq(queue.age(Time(76'000)).size(), 2);
+    cr_assert_eq(queue.promoteAged(Time(74'000)).size(), 0);
+    cr_assert_eq(queue.promoteAged(Time(76'000)).size(), 2);
     queue.add(item(3, "third", Priority::Standard));
     queue.next(QueueLevel::Patient);
     queue.next(QueueLevel::Patient);
