--- a/coordination/workqueue.cpp
+++ b/coordination/workqueue.cpp
@@ -22,13 +22,13 @@
 // The part of its allowance that a request may wait before it is promoted, in hundredths.
 constexpr int PromotionPercent = 75;
 
-using Dated = std::pair<Time, RequestId>;
+using TimedId = std::pair<Time, RequestId>;
 
 struct Entry
 {
     WorkItem item;
     QueueLevel level = QueueLevel::Standard;
-    std::list<RequestId>::iterator place;
+    std::list<RequestId>::iterator position;
 };
 
 // The requests of one caller for one adapter at one level, in order of arrival.
@@ -58,7 +58,7 @@
 
 struct AdapterQueue
 {
-    std::array<absl::btree_set<Dated>, QueueLevelCount> arrivals;
+    std::array<absl::btree_set<TimedId>, QueueLevelCount> arrivals;
     std::array<absl::flat_hash_map<CallerId, int>, QueueLevelCount> callers;
 
     bool isEmpty() const
@@ -98,9 +98,9 @@
     std::array<LevelQueue, QueueLevelCount> levels;
     absl::node_hash_map<AdapterKey, AdapterQueue> adapters;
     absl::flat_hash_set<AdapterKey> readyAdapters;
-    absl::btree_set<Dated> deadlines;
-    absl::btree_set<Dated> promotions;
-    absl::btree_set<Dated> readyPatient;
+    absl::btree_set<TimedId> deadlines;
+    absl::btree_set<TimedId> promotions;
+    absl::btree_set<TimedId> readyPatient;
 
     void insert(const WorkItem &item, QueueLevel level);
     WorkItem erase(RequestId id);
@@ -171,7 +171,7 @@
     }
     const auto caller = levels[level].callers.find(item.caller);
     const auto flow = caller->second.flows.find(item.adapter);
-    flow->second.ids.erase(entry.place);
+    flow->second.ids.erase(entry.position);
     caller->second.tokens -= item.tokens;
     if (flow->second.ids.empty() && !flow->second.isInRing) {
         caller->second.flows.erase(flow);
