--- a/tests/fakes/exploration.cpp
+++ b/tests/fakes/exploration.cpp
@@ -35,7 +35,7 @@
 /** From the first node's seeing it: gossip or the own VM list, the wake-up of a paused node and the longest way to the upstream. */
 constexpr Duration LeavingBound = Duration::seconds(3);
 constexpr Duration ConfigBound = Duration::seconds(4);
-constexpr Duration ColdStart = Duration::seconds(2);
+constexpr Duration RestartTime = Duration::seconds(2);
 constexpr int EngineCount = 2;
 constexpr int LabelCount = 4;
 constexpr int Slots = 2;
@@ -69,8 +69,8 @@
     std::set<AdapterKey> loaded;
     std::map<std::uint64_t, Running> running;
     FencingToken highest;
-    std::deque<Snapshot> past;
-    Time upAt;
+    std::deque<Snapshot> snapshots;
+    Time readyAt;
     int start = 0;
     Time leavesAt = Time::never();
     Time seenLeavingAt = Time::never();
@@ -86,12 +86,12 @@
     int hops = 0;
 };
 
-struct Runner
+struct EngineRunner
 {
     std::unique_ptr<UpstreamOwnership> ownership;
     std::unique_ptr<UpstreamScheduler> scheduler;
     std::map<RequestId, Call> calls;
-    std::vector<RequestId> held;
+    std::vector<RequestId> heldDispatches;
     std::vector<SchedulerAction> heldOrders;
 };
 
@@ -105,12 +105,12 @@
     Duration clockOffset;
     Duration wallOffset;
     Incarnation incarnation;
-    std::deque<std::function<void()>> waiting;
+    std::deque<std::function<void()>> deferred;
     std::unique_ptr<Membership> membership;
     std::unique_ptr<Ledger> ledger;
     std::map<std::uint64_t, std::vector<std::function<void(Outcome)>>> ledgerWaiters;
     std::uint64_t keyCounter = 0;
-    std::vector<Runner> runners;
+    std::vector<EngineRunner> runners;
     std::uint64_t version = 0;
     bool isReady = false;
     bool isDraining = false;
@@ -130,12 +130,12 @@
     }
 };
 
-class World
+class TestCluster
 {
 public:
-    World(std::uint64_t seed, int nodeCount, Safeguard leftOut)
+    TestCluster(std::uint64_t seed, int nodeCount, Safeguard disabled)
         : m_random(seed)
-        , m_leftOut(leftOut)
+        , m_disabled(disabled)
         , m_nodes(static_cast<std::size_t>(nodeCount))
         , m_engines(EngineCount)
     {
@@ -176,11 +176,11 @@
     {
         at(m_now + span, std::move(what));
     }
-    bool isLeftOut(Safeguard guard) const
+    bool isDisabled(Safeguard guard) const
     {
-        return m_leftOut == guard;
+        return m_disabled == guard;
     }
-    void violate(Invariant promise, const std::string &what)
+    void recordViolation(Invariant promise, const std::string &what)
     {
         ++m_result.violations[static_cast<std::size_t>(promise)];
         if (m_result.first.empty()) {
@@ -195,14 +195,14 @@
     }
 
     /** Has node @p index do @p what: later when it is paused, never when that start of it is gone. */
-    void enter(std::size_t index, int start, std::function<void()> what)
+    void runOnNode(std::size_t index, int start, std::function<void()> what)
     {
         ExploredNode &node = m_nodes[index];
         if (!node.isUp || node.start != start) {
             return;
         }
         if (m_now < node.pausedUntil) {
-            node.waiting.push_back(std::move(what));
+            node.deferred.push_back(std::move(what));
             return;
         }
         what();
@@ -211,15 +211,15 @@
     {
         ExploredNode &node = m_nodes[index];
         node.pausedUntil = std::max(node.pausedUntil, m_now + span);
-        m_lastTrouble = std::max(m_lastTrouble, node.pausedUntil);
+        m_lastFaultEnd = std::max(m_lastFaultEnd, node.pausedUntil);
         at(node.pausedUntil, [this, index] { wake(index); });
     }
     void wake(std::size_t index)
     {
         ExploredNode &node = m_nodes[index];
-        while (node.isUp && m_now >= node.pausedUntil && !node.waiting.empty()) {
-            const auto what = std::move(node.waiting.front());
-            node.waiting.pop_front();
+        while (node.isUp && m_now >= node.pausedUntil && !node.deferred.empty()) {
+            const auto what = std::move(node.deferred.front());
+            node.deferred.pop_front();
             what();
         }
     }
@@ -235,17 +235,17 @@
     void finishShutDown(std::size_t index, int start, Time since);
     void tickNode(std::size_t index, int start);
     void fault();
-    void carryOut(std::size_t index, const std::vector<MembershipAction> &actions);
+    void execute(std::size_t index, const std::vector<MembershipAction> &actions);
     void membershipEvent(std::size_t index, const MembershipEvent &event);
     VmList vmList() const;
 
-    void operate();
+    void runOperatorAction();
     void takeVersion(std::size_t index, std::uint64_t version);
     void readConfig(std::size_t index);
-    void checkStart(std::size_t index);
+    void checkStartVersion(std::size_t index);
     AdapterKey resolve(int label, std::uint64_t version) const;
 
-    void callCompletion();
+    void sendCompletion();
     void receive(std::size_t index, Call call);
     void end(std::size_t index, const Call &call, Outcome outcome, std::uint64_t echoed = 0, const AdapterKey &ran = {});
     void schedulerEvent(std::size_t index, std::size_t engine, const SchedulerEvent &event);
@@ -254,23 +254,23 @@
     bool tryOrder(std::size_t index, std::size_t engine, const SchedulerAction &action);
     bool mayDispatch(std::size_t index, std::size_t engine) const;
     void dispatch(std::size_t index, std::size_t engine, RequestId id);
-    void toEngine(std::size_t index, std::size_t engine, std::function<void(Engine &)> arrive, std::function<void()> lost);
-    void toNode(std::size_t index, int start, std::function<void()> arrive, std::function<void()> lost);
+    void deliverToEngine(std::size_t index, std::size_t engine, std::function<void(Engine &)> onArrival, std::function<void()> onLost);
+    void deliverToNode(std::size_t index, int start, std::function<void()> onArrival, std::function<void()> onLost);
     void runAtEngine(std::size_t index, std::size_t engine, RequestId id, Call call);
-    void askReport(std::size_t index, std::size_t engine);
+    void requestReport(std::size_t index, std::size_t engine);
     void claim(std::size_t index, std::size_t engine, FencingToken token);
     bool isFenced(Engine &engine, FencingToken token);
     void restart(std::size_t engine);
-    void remember(Engine &engine);
-    void noteRun(std::uint64_t request);
-    void noteTold(std::uint64_t request, Outcome outcome);
+    void recordSnapshot(Engine &engine);
+    void recordRun(std::uint64_t request);
+    void recordOutcome(std::uint64_t request, Outcome outcome);
 
-    void callPayment();
+    void startPayment();
     void sendPayment(std::size_t to, const std::string &key, std::uint64_t payment, int hops, std::function<void(Outcome)> answer);
     void acceptPayment(std::size_t index, const IdempotencyKey &key, std::uint64_t payment, std::function<void(Outcome)> answer);
 
     std::mt19937_64 m_random;
-    const Safeguard m_leftOut;
+    const Safeguard m_disabled;
     std::priority_queue<Event> m_events;
     std::uint64_t m_order = 0;
     Time m_now { 1000 };
@@ -279,28 +279,28 @@
     double m_loss = 0;
     Time m_cutUntil;
     unsigned m_cutMask = 0;
-    Time m_lastTrouble;
+    Time m_lastFaultEnd;
     std::uint64_t m_published = 1;
     std::uint64_t m_servedVersion = 1;
     bool m_isServiceStale = false;
     std::map<std::uint64_t, Time> m_acceptedAt;
     std::uint64_t m_requests = 0;
-    std::set<std::uint64_t> m_ran;
-    std::set<std::uint64_t> m_toldNotRun;
+    std::set<std::uint64_t> m_executed;
+    std::set<std::uint64_t> m_reportedNotRun;
     std::map<std::uint64_t, int> m_paymentRuns;
     HistoryResult m_result;
 };
 
 // --- The fleet.
 
-void World::setUp()
+void TestCluster::setUp()
 {
     m_loss = chance(0.5) ? 0.01 : 0.1;
     for (std::size_t i = 0; i < m_engines.size(); ++i) {
         m_engines[i].id = UpstreamId("engine" + std::to_string(i));
         m_engines[i].zone = ZoneId("zone" + std::to_string(i % 2));
         m_engines[i].checksFencing = chance(0.5);
-        remember(m_engines[i]);
+        recordSnapshot(m_engines[i]);
     }
     for (std::size_t i = 0; i < m_nodes.size(); ++i) {
         ExploredNode &node = m_nodes[i];
@@ -310,20 +310,20 @@
         startNode(i);
     }
     for (int i = 0; i < 120; ++i) {
-        at(Time(draw(2500, 1000 + HistoryLength.milliseconds())), [this] { callCompletion(); });
+        at(Time(draw(2500, 1000 + HistoryLength.milliseconds())), [this] { sendCompletion(); });
     }
     for (int i = 0; i < 15; ++i) {
-        at(Time(draw(2500, 1000 + HistoryLength.milliseconds())), [this] { callPayment(); });
+        at(Time(draw(2500, 1000 + HistoryLength.milliseconds())), [this] { startPayment(); });
     }
     for (int i = 0; i < 10; ++i) {
         at(Time(draw(4000, 1000 + HistoryLength.milliseconds())), [this] { fault(); });
     }
     for (int i = 0; i < 4; ++i) {
-        at(Time(draw(3000, 1000 + HistoryLength.milliseconds())), [this] { operate(); });
+        at(Time(draw(3000, 1000 + HistoryLength.milliseconds())), [this] { runOperatorAction(); });
     }
 }
 
-VmList World::vmList() const
+VmList TestCluster::vmList() const
 {
     VmList list;
     for (std::size_t i = 0; i < m_nodes.size(); ++i) {
@@ -343,13 +343,13 @@
     return list;
 }
 
-void World::startNode(std::size_t index)
+void TestCluster::startNode(std::size_t index)
 {
     ExploredNode &node = m_nodes[index];
     node.isUp = true;
-    m_lastTrouble = std::max(m_lastTrouble, m_now);
+    m_lastFaultEnd = std::max(m_lastFaultEnd, m_now);
     ++node.start;
-    node.waiting.clear();
+    node.deferred.clear();
     node.pausedUntil = Time();
     node.incarnation =
         Incarnation(static_cast<std::uint64_t>((m_now + node.wallOffset).milliseconds() + 1'000'000) * 1000 + node.start % 1000);
@@ -383,7 +383,7 @@
         SchedulerLimits scheduler;
         scheduler.slots = Slots;
         scheduler.batch = 4;
-        Runner runner;
+        EngineRunner runner;
         runner.ownership = std::make_unique<UpstreamOwnership>(ownership, m_random());
         runner.scheduler = std::make_unique<UpstreamScheduler>(scheduler);
         node.runners.push_back(std::move(runner));
@@ -397,14 +397,14 @@
     after(Duration(draw(0, 100)), [this, index, start] { tickNode(index, start); });
 }
 
-void World::crash(std::size_t index)
+void TestCluster::crash(std::size_t index)
 {
     ExploredNode &node = m_nodes[index];
     if (!node.isUp) {
         return;
     }
     node.isUp = false;
-    m_lastTrouble = std::max(m_lastTrouble, m_now);
+    m_lastFaultEnd = std::max(m_lastFaultEnd, m_now);
     // Callers in progress see their connections break and learn nothing.
     node.runners.clear();
     if (chance(0.5)) {
@@ -417,42 +417,42 @@
     });
 }
 
-void World::shutDown(std::size_t index)
+void TestCluster::shutDown(std::size_t index)
 {
     ExploredNode &node = m_nodes[index];
     if (!node.isUp || node.isDraining) {
         return;
     }
     const int start = node.start;
-    enter(index, start, [this, index, start] {
+    runOnNode(index, start, [this, index, start] {
         m_nodes[index].isDraining = true;
         membershipEvent(index, AnnounceLeaving {});
         finishShutDown(index, start, m_now);
     });
 }
 
-void World::finishShutDown(std::size_t index, int start, Time since)
+void TestCluster::finishShutDown(std::size_t index, int start, Time since)
 {
     ExploredNode &node = m_nodes[index];
     const bool isOver =
-        isLeftOut(Safeguard::DrainWait) ? m_now - since >= Duration(200) : m_now - since >= Duration(300) && node.active == 0;
+        isDisabled(Safeguard::DrainWait) ? m_now - since >= Duration(200) : m_now - since >= Duration(300) && node.active == 0;
     if (!isOver) {
         after(Duration(50),
-            [this, index, start, since] { enter(index, start, [this, index, start, since] { finishShutDown(index, start, since); }); });
+            [this, index, start, since] { runOnNode(index, start, [this, index, start, since] { finishShutDown(index, start, since); }); });
         return;
     }
     if (node.active > 0) {
-        violate(Invariant::GracefulShutdown, node.id.value() + " ended with requests in progress");
+        recordViolation(Invariant::GracefulShutdown, node.id.value() + " ended with requests in progress");
     }
     membershipEvent(index, AnnounceLeft {});
     node.isUp = false;
-    m_lastTrouble = std::max(m_lastTrouble, m_now);
+    m_lastFaultEnd = std::max(m_lastFaultEnd, m_now);
     after(Duration(draw(500, 3000)), [this, index] { startNode(index); });
 }
 
-void World::tickNode(std::size_t index, int start)
+void TestCluster::tickNode(std::size_t index, int start)
 {
-    enter(index, start, [this, index] {
+    runOnNode(index, start, [this, index] {
         ExploredNode &node = m_nodes[index];
         membershipEvent(index, MembershipTick {});
         if (m_now >= node.nextRead) {
@@ -477,12 +477,12 @@
     }
 }
 
-void World::membershipEvent(std::size_t index, const MembershipEvent &event)
+void TestCluster::membershipEvent(std::size_t index, const MembershipEvent &event)
 {
-    carryOut(index, m_nodes[index].membership->handle(event, clockOf(m_nodes[index])));
+    execute(index, m_nodes[index].membership->handle(event, clockOf(m_nodes[index])));
 }
 
-void World::carryOut(std::size_t index, const std::vector<MembershipAction> &actions)
+void TestCluster::execute(std::size_t index, const std::vector<MembershipAction> &actions)
 {
     for (const MembershipAction &action : actions) {
         if (const auto *datagram = std::get_if<SendDatagram>(&action)) {
@@ -494,7 +494,7 @@
                 const Duration delay(chance(0.02) ? draw(50, 400) : draw(1, 20));
                 const int start = m_nodes[to].start;
                 after(delay, [this, index, to, start, content = datagram->datagram] {
-                    enter(to, start, [this, index, to, content] {
+                    runOnNode(to, start, [this, index, to, content] {
                         membershipEvent(to, DatagramReceived { content, std::to_string(index) });
                     });
                 });
@@ -503,7 +503,7 @@
             if (const auto *config = std::get_if<ConfigFact>(&learned->rumour)) {
                 const int start = m_nodes[index].start;
                 after(Duration(draw(5, 50)), [this, index, start, version = config->version.value()] {
-                    enter(index, start, [this, index, version] { takeVersion(index, version); });
+                    runOnNode(index, start, [this, index, version] { takeVersion(index, version); });
                 });
             }
             if (const auto *leaving = std::get_if<LeavingFact>(&learned->rumour)) {
@@ -517,14 +517,14 @@
     }
 }
 
-void World::fault()
+void TestCluster::fault()
 {
     const std::size_t node = anyNode();
     const auto engine = static_cast<std::size_t>(draw(0, EngineCount - 1));
     switch (draw(0, 7)) {
     case 0:
     case 1:
-        m_lastTrouble = std::max(m_lastTrouble, m_now);
+        m_lastFaultEnd = std::max(m_lastFaultEnd, m_now);
         pause(node, Duration(draw(200, 6000)));
         break;
     case 2:
@@ -534,7 +534,7 @@
     case 4:
         m_cutMask = static_cast<unsigned>(draw(1, (1 << m_nodes.size()) - 2));
         m_cutUntil = m_now + Duration(draw(500, 8000));
-        m_lastTrouble = std::max(m_lastTrouble, m_cutUntil);
+        m_lastFaultEnd = std::max(m_lastFaultEnd, m_cutUntil);
         break;
     case 5:
         restart(engine);
@@ -550,12 +550,12 @@
 
 // --- Configuration: the operator publishes, nodes read, tell and fetch.
 
-AdapterKey World::resolve(int label, std::uint64_t version) const
+AdapterKey TestCluster::resolve(int label, std::uint64_t version) const
 {
     return { AdapterId("a" + std::to_string(label)), AdapterVersion(std::to_string((version + static_cast<std::uint64_t>(label)) / 2)) };
 }
 
-void World::operate()
+void TestCluster::runOperatorAction()
 {
     if (chance(0.6)) {
         ++m_published;
@@ -565,7 +565,7 @@
             // One node has seen the new value before the service fell back to an old one.
             const std::size_t index = anyNode();
             const int start = m_nodes[index].start;
-            enter(index, start, [this, index] { takeVersion(index, m_published); });
+            runOnNode(index, start, [this, index] { takeVersion(index, m_published); });
         }
         return;
     }
@@ -575,17 +575,17 @@
     }
 }
 
-void World::readConfig(std::size_t index)
+void TestCluster::readConfig(std::size_t index)
 {
     ExploredNode &node = m_nodes[index];
     const std::uint64_t served = m_servedVersion;
     if (!node.isReady) {
         // What peers tell comes before what the service says: it may be stale.
         const bool hasView = node.membership->isFresh(clockOf(node)) && !node.membership->view()->nodes.empty();
-        if (!isLeftOut(Safeguard::StartVersion) && !hasView) {
+        if (!isDisabled(Safeguard::StartVersion) && !hasView) {
             return;
         }
-        if (!isLeftOut(Safeguard::StartVersion)) {
+        if (!isDisabled(Safeguard::StartVersion)) {
             for (const Rumour &rumour : node.membership->rumours()) {
                 if (const auto *config = std::get_if<ConfigFact>(&rumour)) {
                     node.version = std::max(node.version, config->version.value());
@@ -594,14 +594,14 @@
         }
         node.isReady = true;
         takeVersion(index, served);
-        checkStart(index);
+        checkStartVersion(index);
         return;
     }
     takeVersion(index, served);
 }
 
 // A node that starts serving must not be behind what a peer that it could have asked has long had in force.
-void World::checkStart(std::size_t index)
+void TestCluster::checkStartVersion(std::size_t index)
 {
     const ExploredNode &node = m_nodes[index];
     if (m_now <= m_cutUntil + ConfigBound) {
@@ -611,7 +611,7 @@
         const auto accepted = m_acceptedAt.find(peer.version);
         const bool canAnswer = peer.isUp && peer.isReady && m_now > peer.pausedUntil + ConfigBound && !peer.isDraining;
         if (canAnswer && peer.version > node.version && accepted != m_acceptedAt.end() && m_now > accepted->second + ConfigBound) {
-            violate(Invariant::ConfigurationHolds,
+            recordViolation(Invariant::ConfigurationHolds,
                 node.id.value() + " starts with version " + std::to_string(node.version) + " while " + peer.id.value() + " has "
                     + std::to_string(peer.version));
             return;
@@ -619,15 +619,15 @@
     }
 }
 
-void World::takeVersion(std::size_t index, std::uint64_t version)
+void TestCluster::takeVersion(std::size_t index, std::uint64_t version)
 {
     ExploredNode &node = m_nodes[index];
-    const bool isTaken = isLeftOut(Safeguard::VersionOrder) ? version != node.version : version > node.version;
+    const bool isTaken = isDisabled(Safeguard::VersionOrder) ? version != node.version : version > node.version;
     if (!isTaken) {
         return;
     }
     if (version < node.version) {
-        violate(Invariant::ConfigurationHolds, node.id.value() + " went back to version " + std::to_string(version));
+        recordViolation(Invariant::ConfigurationHolds, node.id.value() + " went back to version " + std::to_string(version));
     }
     node.version = version;
     m_acceptedAt.emplace(version, m_now);
@@ -636,26 +636,26 @@
 
 // --- Completions.
 
-void World::noteRun(std::uint64_t request)
+void TestCluster::recordRun(std::uint64_t request)
 {
-    m_ran.insert(request);
-    if (m_toldNotRun.contains(request)) {
-        violate(Invariant::NotRunIsTrue, "request " + std::to_string(request) + " ran after its caller was told that it had not");
+    m_executed.insert(request);
+    if (m_reportedNotRun.contains(request)) {
+        recordViolation(Invariant::NotRunIsTrue, "request " + std::to_string(request) + " ran after its caller was told that it had not");
     }
 }
 
-void World::noteTold(std::uint64_t request, Outcome outcome)
+void TestCluster::recordOutcome(std::uint64_t request, Outcome outcome)
 {
     if (outcome != Outcome::NotRun) {
         return;
     }
-    m_toldNotRun.insert(request);
-    if (m_ran.contains(request)) {
-        violate(Invariant::NotRunIsTrue, "the caller of request " + std::to_string(request) + " was told that it had not run");
+    m_reportedNotRun.insert(request);
+    if (m_executed.contains(request)) {
+        recordViolation(Invariant::NotRunIsTrue, "the caller of request " + std::to_string(request) + " was told that it had not run");
     }
 }
 
-void World::callCompletion()
+void TestCluster::sendCompletion()
 {
     const std::size_t to = anyNode();
     const int start = m_nodes[to].start;
@@ -663,32 +663,33 @@
     call.label = static_cast<int>(draw(0, LabelCount - 1));
     call.request = ++m_requests;
     call.answer = [this, request = call.request](Outcome outcome, std::uint64_t echoed, const AdapterKey &) {
-        noteTold(request, outcome);
+        recordOutcome(request, outcome);
         if (outcome == Outcome::Served && echoed != request) {
-            violate(Invariant::OwnWholeAnswer, "request " + std::to_string(request) + " got the answer of " + std::to_string(echoed));
+            recordViolation(
+                Invariant::OwnWholeAnswer, "request " + std::to_string(request) + " got the answer of " + std::to_string(echoed));
         }
         ++(outcome == Outcome::Served ? m_result.served : outcome == Outcome::NotRun ? m_result.refused : m_result.unknown);
     };
-    after(Duration(draw(1, 20)), [this, to, start, call] { enter(to, start, [this, to, call] { receive(to, call); }); });
+    after(Duration(draw(1, 20)), [this, to, start, call] { runOnNode(to, start, [this, to, call] { receive(to, call); }); });
 }
 
-void World::end(std::size_t index, const Call &call, Outcome outcome, std::uint64_t echoed, const AdapterKey &ran)
+void TestCluster::end(std::size_t index, const Call &call, Outcome outcome, std::uint64_t echoed, const AdapterKey &ran)
 {
     --m_nodes[index].active;
     call.answer(outcome, echoed, ran);
 }
 
-void World::receive(std::size_t index, Call call)
+void TestCluster::receive(std::size_t index, Call call)
 {
     ExploredNode &node = m_nodes[index];
     ++node.active;
     const auto view = node.membership->view();
     // Nothing is served by a configuration that others have long replaced.
-    const bool isQuiet = m_now - m_lastTrouble > ConfigBound && m_now >= m_cutUntil;
+    const bool isStable = m_now - m_lastFaultEnd > ConfigBound && m_now >= m_cutUntil;
     for (const auto &[version, acceptedAt] : m_acceptedAt) {
-        if (node.isReady && isQuiet && m_now - acceptedAt > ConfigBound && node.version < version
+        if (node.isReady && isStable && m_now - acceptedAt > ConfigBound && node.version < version
             && m_now - node.pausedUntil > ConfigBound) {
-            violate(Invariant::ConfigurationHolds,
+            recordViolation(Invariant::ConfigurationHolds,
                 node.id.value() + " serves version " + std::to_string(node.version) + " after " + std::to_string(version)
                     + " was accepted");
             break;
@@ -718,7 +719,7 @@
         return;
     }
     if (owner->id == node.id) {
-        Runner &runner = node.runners[order.front()];
+        EngineRunner &runner = node.runners[order.front()];
         const RequestId id(++node.nextRequest);
         WorkItem work { id, call.adapter, static_cast<Priority>(draw(0, 2)), CallerId("c"), clockOf(node),
             clockOf(node) + (call.deadline - m_now), 10 };
@@ -738,21 +739,21 @@
     forwarded.answer = [this, index, start, to, call](Outcome outcome, std::uint64_t echoed, const AdapterKey &ran) {
         const bool isLost = isCut(index, to);
         after(Duration(draw(1, 10)),
-            [=, this] { enter(index, start, [=, this] { end(index, call, isLost ? Outcome::Unknown : outcome, echoed, ran); }); });
+            [=, this] { runOnNode(index, start, [=, this] { end(index, call, isLost ? Outcome::Unknown : outcome, echoed, ran); }); });
     };
     after(Duration(draw(1, 10)), [this, to, toStart, index, start, call, forwarded] {
         if (!m_nodes[to].isUp || m_nodes[to].start != toStart) {
-            enter(index, start, [this, index, call] { end(index, call, Outcome::Unknown); });
+            runOnNode(index, start, [this, index, call] { end(index, call, Outcome::Unknown); });
             return;
         }
-        enter(to, toStart, [this, to, forwarded] { receive(to, forwarded); });
+        runOnNode(to, toStart, [this, to, forwarded] { receive(to, forwarded); });
     });
 }
 
-void World::schedulerEvent(std::size_t index, std::size_t engine, const SchedulerEvent &event)
+void TestCluster::schedulerEvent(std::size_t index, std::size_t engine, const SchedulerEvent &event)
 {
     ExploredNode &node = m_nodes[index];
-    Runner &runner = node.runners[engine];
+    EngineRunner &runner = node.runners[engine];
     const auto actions = runner.scheduler->handle(event, clockOf(node));
     for (const SchedulerAction &action : actions) {
         if (const auto *refuse = std::get_if<Refuse>(&action)) {
@@ -760,10 +761,10 @@
             if (!call.empty()) {
                 end(index, call.mapped(), Outcome::NotRun);
             }
-        } else if (const auto *ask = std::get_if<RequestPermit>(&action)) {
-            schedulerEvent(index, engine, PermitGranted { ask->adapter, clockOf(node) + Duration::seconds(5) });
+        } else if (const auto *permitRequest = std::get_if<RequestPermit>(&action)) {
+            schedulerEvent(index, engine, PermitGranted { permitRequest->adapter, clockOf(node) + Duration::seconds(5) });
         } else if (const auto *dispatch = std::get_if<Dispatch>(&action)) {
-            runner.held.push_back(dispatch->id);
+            runner.heldDispatches.push_back(dispatch->id);
         } else if (std::holds_alternative<StartLoad>(action) || std::holds_alternative<StartEvict>(action)) {
             runner.heldOrders.push_back(action);
         }
@@ -771,17 +772,17 @@
     tryHeld(index, engine);
 }
 
-bool World::mayDispatch(std::size_t index, std::size_t engine) const
+bool TestCluster::mayDispatch(std::size_t index, std::size_t engine) const
 {
     const ExploredNode &node = m_nodes[index];
-    const bool isLeaving = !isLeftOut(Safeguard::LeavingCheck) && node.membership->view()->leaving.contains(m_engines[engine].id);
-    return !isLeaving && (isLeftOut(Safeguard::Lease) || node.runners[engine].ownership->mayDispatch(clockOf(node)));
+    const bool isLeaving = !isDisabled(Safeguard::LeavingCheck) && node.membership->view()->leaving.contains(m_engines[engine].id);
+    return !isLeaving && (isDisabled(Safeguard::Lease) || node.runners[engine].ownership->mayDispatch(clockOf(node)));
 }
 
 // Dispatches and orders wait until the ownership allows them, or until the request's deadline has passed.
-void World::tryHeld(std::size_t index, std::size_t engine)
+void TestCluster::tryHeld(std::size_t index, std::size_t engine)
 {
-    Runner &runner = m_nodes[index].runners[engine];
+    EngineRunner &runner = m_nodes[index].runners[engine];
     std::vector<SchedulerAction> orders;
     orders.swap(runner.heldOrders);
     for (const SchedulerAction &order : orders) {
@@ -789,9 +790,9 @@
             runner.heldOrders.push_back(order);
         }
     }
-    std::vector<RequestId> held;
-    held.swap(runner.held);
-    for (const RequestId id : held) {
+    std::vector<RequestId> heldDispatches;
+    heldDispatches.swap(runner.heldDispatches);
+    for (const RequestId id : heldDispatches) {
         const auto at = runner.calls.find(id);
         if (at == runner.calls.end()) {
             schedulerEvent(index, engine, WorkFinished { id });
@@ -803,14 +804,15 @@
             schedulerEvent(index, engine, WorkFinished { id });
             end(index, call, Outcome::NotRun);
         } else {
-            runner.held.push_back(id);
+            runner.heldDispatches.push_back(id);
         }
     }
 }
 
 // Brings something to an engine over a connection: the node may be paused right after its check, and the engine closes a connection on
 // which nothing arrives for too long.
-void World::toEngine(std::size_t index, std::size_t engine, std::function<void(Engine &)> arrive, std::function<void()> lost)
+void TestCluster::deliverToEngine(
+    std::size_t index, std::size_t engine, std::function<void(Engine &)> onArrival, std::function<void()> onLost)
 {
     const int start = m_nodes[index].start;
     const int engineStart = m_engines[engine].start;
@@ -823,21 +825,21 @@
     const bool isLost = chance(0.01);
     after(delay, [=, this] {
         Engine &target = m_engines[engine];
-        if (isTooLate || isLost || target.start != engineStart || m_now < target.upAt) {
-            enter(index, start, lost);
+        if (isTooLate || isLost || target.start != engineStart || m_now < target.readyAt) {
+            runOnNode(index, start, onLost);
             return;
         }
-        arrive(target);
+        onArrival(target);
     });
 }
 
-void World::toNode(std::size_t index, int start, std::function<void()> arrive, std::function<void()> lost)
+void TestCluster::deliverToNode(std::size_t index, int start, std::function<void()> onArrival, std::function<void()> onLost)
 {
     const bool isLost = chance(0.02);
-    after(Duration(draw(1, 10)), [=, this] { enter(index, start, isLost ? lost : arrive); });
+    after(Duration(draw(1, 10)), [=, this] { runOnNode(index, start, isLost ? onLost : onArrival); });
 }
 
-bool World::isFenced(Engine &engine, FencingToken token)
+bool TestCluster::isFenced(Engine &engine, FencingToken token)
 {
     if (engine.checksFencing && token < engine.highest) {
         ++m_result.fenced;
@@ -847,7 +849,7 @@
     return false;
 }
 
-bool World::tryOrder(std::size_t index, std::size_t engine, const SchedulerAction &action)
+bool TestCluster::tryOrder(std::size_t index, std::size_t engine, const SchedulerAction &action)
 {
     ExploredNode &node = m_nodes[index];
     const UpstreamOwnership &ownership = *node.runners[engine].ownership;
@@ -860,7 +862,7 @@
         const auto finish = [this, index, engine, adapter = load->adapter](bool isLoaded, bool isUnknown) {
             schedulerEvent(index, engine, LoadFinished { adapter, isLoaded, isUnknown });
         };
-        toEngine(
+        deliverToEngine(
             index, engine,
             [=, this, adapter = load->adapter](Engine &target) {
                 const bool isRefused = isFenced(target, *token);
@@ -868,9 +870,9 @@
                 const bool isLoaded = !isRefused && !isFull && !chance(0.05);
                 if (isLoaded) {
                     target.loaded.insert(adapter);
-                    remember(target);
+                    recordSnapshot(target);
                 }
-                toNode(
+                deliverToNode(
                     index, start,
                     [=, this] {
                         if (isRefused) {
@@ -885,7 +887,7 @@
     }
     const auto &evict = std::get<StartEvict>(action);
     auto token = ownership.evictToken(evict.adapter, clockOf(node));
-    if (isLeftOut(Safeguard::EvictionWait)) {
+    if (isDisabled(Safeguard::EvictionWait)) {
         token = ownership.loadToken(clockOf(node));
     }
     if (!token.has_value()) {
@@ -896,8 +898,8 @@
         schedulerEvent(index, engine, EvictFinished { adapter, isEvicted, isUnknown });
     };
     // An order without answer may still arrive: the adapter stays out of use until it no longer can.
-    const auto finishLater = [=, this] { after(DispatchDelay, [=, this] { enter(index, start, [=] { finish(false, true); }); }); };
-    toEngine(
+    const auto finishLater = [=, this] { after(DispatchDelay, [=, this] { runOnNode(index, start, [=] { finish(false, true); }); }); };
+    deliverToEngine(
         index, engine,
         [=, this, adapter = evict.adapter](Engine &target) {
             const bool isRefused = isFenced(target, *token);
@@ -905,16 +907,16 @@
                 ++m_result.evictions;
                 for (const auto &[id, run] : target.running) {
                     if (run.adapter == adapter) {
-                        violate(Invariant::NoEvictionInUse,
+                        recordViolation(Invariant::NoEvictionInUse,
                             m_nodes[index].id.value() + " evicted " + adapter.name() + " from " + target.id.value()
                                 + (target.checksFencing ? " (checks fencing)" : " (checks nothing)"));
                         break;
                     }
                 }
                 target.loaded.erase(adapter);
-                remember(target);
+                recordSnapshot(target);
             }
-            toNode(
+            deliverToNode(
                 index, start,
                 [=, this] {
                     if (isRefused) {
@@ -928,38 +930,38 @@
     return true;
 }
 
-void World::dispatch(std::size_t index, std::size_t engine, RequestId id)
+void TestCluster::dispatch(std::size_t index, std::size_t engine, RequestId id)
 {
     ExploredNode &node = m_nodes[index];
     Call call = node.runners[engine].calls.at(id);
-    if (isLeftOut(Safeguard::VersionBinding)) {
+    if (isDisabled(Safeguard::VersionBinding)) {
         call.adapter = resolve(call.label, node.version);
     }
     runAtEngine(index, engine, id, std::move(call));
 }
 
-void World::runAtEngine(std::size_t index, std::size_t engine, RequestId id, Call call)
+void TestCluster::runAtEngine(std::size_t index, std::size_t engine, RequestId id, Call call)
 {
     const int start = m_nodes[index].start;
     const auto finish = [this, index, engine, id](Outcome outcome, std::uint64_t echoed, const AdapterKey &ran, bool isMissing) {
-        Runner &runner = m_nodes[index].runners[engine];
-        const auto held = runner.calls.extract(id);
+        EngineRunner &runner = m_nodes[index].runners[engine];
+        const auto heldDispatches = runner.calls.extract(id);
         if (isMissing) {
             schedulerEvent(index, engine, UpstreamRestarted {});
         }
         schedulerEvent(index, engine, WorkFinished { id });
-        if (held.empty()) {
+        if (heldDispatches.empty()) {
             return;
         }
-        const Call &asked = held.mapped();
-        if (outcome == Outcome::Served && ran != asked.adapter) {
-            violate(Invariant::RightAdapter, "asked for " + asked.adapter.name() + ", ran on " + ran.name());
+        const Call &original = heldDispatches.mapped();
+        if (outcome == Outcome::Served && ran != original.adapter) {
+            recordViolation(Invariant::RightAdapter, "asked for " + original.adapter.name() + ", ran on " + ran.name());
         }
         // An answer that names another attempt belongs to another caller.
-        if (outcome == Outcome::Served && echoed != asked.request && !isLeftOut(Safeguard::AttemptId)) {
+        if (outcome == Outcome::Served && echoed != original.request && !isDisabled(Safeguard::AttemptId)) {
             outcome = Outcome::Unknown;
         }
-        end(index, asked, outcome, echoed, ran);
+        end(index, original, outcome, echoed, ran);
     };
     const bool isTooLate = m_now >= call.deadline;
     if (isTooLate) {
@@ -967,22 +969,22 @@
         return;
     }
     // Whether the first byte left is not known of a broken connection, so it counts as sent.
-    const Outcome broken = isLeftOut(Safeguard::SentState) ? Outcome::NotRun : Outcome::Unknown;
-    toEngine(
+    const Outcome broken = isDisabled(Safeguard::SentState) ? Outcome::NotRun : Outcome::Unknown;
+    deliverToEngine(
         index, engine,
         [=, this](Engine &target) {
             if (!target.loaded.contains(call.adapter)) {
-                toNode(
+                deliverToNode(
                     index, start, [=] { finish(Outcome::NotRun, 0, {}, true); }, [=] { finish(Outcome::Unknown, 0, {}, false); });
                 return;
             }
             if (m_now > target.seenLeavingAt + LeavingBound) {
-                violate(Invariant::NoWorkForLeaving, m_nodes[index].id.value() + " sent to " + target.id.value());
+                recordViolation(Invariant::NoWorkForLeaving, m_nodes[index].id.value() + " sent to " + target.id.value());
             }
             const std::uint64_t run = ++m_order;
             target.running.emplace(run, Running { call.adapter, call.request });
-            remember(target);
-            noteRun(call.request);
+            recordSnapshot(target);
+            recordRun(call.request);
             const int engineStart = target.start;
             const Duration length(chance(0.1) ? draw(1000, 4000) : draw(20, 400));
             after(length, [=, this] {
@@ -996,21 +998,21 @@
                     echoed = call.request - 1;
                 }
                 engineNow.running.erase(run);
-                remember(engineNow);
-                toNode(
+                recordSnapshot(engineNow);
+                deliverToNode(
                     index, start, [=] { finish(Outcome::Served, echoed, call.adapter, false); }, [=] { finish(broken, 0, {}, false); });
             });
             // A restart breaks the connection.
             after(length + Duration(20), [=, this] {
                 if (m_engines[engine].start != engineStart) {
-                    enter(index, start, [=] { finish(broken, 0, {}, false); });
+                    runOnNode(index, start, [=] { finish(broken, 0, {}, false); });
                 }
             });
         },
         [=] { finish(broken, 0, {}, false); });
 }
 
-void World::ownershipEvent(std::size_t index, std::size_t engine, const OwnershipEvent &event)
+void TestCluster::ownershipEvent(std::size_t index, std::size_t engine, const OwnershipEvent &event)
 {
     ExploredNode &node = m_nodes[index];
     const Time before = node.runners[engine].ownership->ownedSince();
@@ -1018,54 +1020,55 @@
     m_result.takeovers += before == Time::never() && node.runners[engine].ownership->ownedSince() != Time::never() ? 1 : 0;
     for (const OwnershipAction &action : actions) {
         if (std::holds_alternative<RequestReport>(action)) {
-            askReport(index, engine);
-        } else if (const auto *wanted = std::get_if<Claim>(&action)) {
-            claim(index, engine, wanted->token);
+            requestReport(index, engine);
+        } else if (const auto *claimAction = std::get_if<Claim>(&action)) {
+            claim(index, engine, claimAction->token);
         } else if (const auto *rule = std::get_if<EvictionRuleChanged>(&action)) {
-            const EvictionRule open { true, {} };
-            schedulerEvent(index, engine, isLeftOut(Safeguard::EvictionWait) ? open : rule->rule);
+            const EvictionRule allowAll { true, {} };
+            schedulerEvent(index, engine, isDisabled(Safeguard::EvictionWait) ? allowAll : rule->rule);
         }
     }
 }
 
-void World::askReport(std::size_t index, std::size_t engine)
+void TestCluster::requestReport(std::size_t index, std::size_t engine)
 {
     const int start = m_nodes[index].start;
-    const Time askedAt = clockOf(m_nodes[index]);
+    const Time requestedAt = clockOf(m_nodes[index]);
     const auto failed = [=, this] { ownershipEvent(index, engine, ReportFailed {}); };
-    toEngine(
+    deliverToEngine(
         index, engine,
         [=, this](Engine &target) {
             // What it says lags by up to ReportLag.
             const Time of = m_now - Duration(draw(0, ReportLag.milliseconds() - 1));
-            Snapshot told = target.past.front();
-            for (const Snapshot &snapshot : target.past) {
+            Snapshot reported = target.snapshots.front();
+            for (const Snapshot &snapshot : target.snapshots) {
                 if (snapshot.at <= of) {
-                    told = snapshot;
+                    reported = snapshot;
                 }
             }
-            toNode(
+            deliverToNode(
                 index, start,
                 [=, this] {
-                    const Time takenAt = askedAt - ReportLag;
-                    ownershipEvent(index, engine, OwnershipReport { takenAt, told.highest, told.loaded, told.inUse });
-                    schedulerEvent(index, engine, LoadReport { takenAt, told.loaded, told.inUse, static_cast<int>(told.inUse.size()), 0 });
+                    const Time takenAt = requestedAt - ReportLag;
+                    ownershipEvent(index, engine, OwnershipReport { takenAt, reported.highest, reported.loaded, reported.inUse });
+                    schedulerEvent(
+                        index, engine, LoadReport { takenAt, reported.loaded, reported.inUse, static_cast<int>(reported.inUse.size()), 0 });
                 },
                 failed);
         },
         failed);
 }
 
-void World::claim(std::size_t index, std::size_t engine, FencingToken token)
+void TestCluster::claim(std::size_t index, std::size_t engine, FencingToken token)
 {
     const int start = m_nodes[index].start;
     const auto failed = [=, this] { ownershipEvent(index, engine, ClaimFailed {}); };
-    toEngine(
+    deliverToEngine(
         index, engine,
         [=, this](Engine &target) {
             const bool isRefused = isFenced(target, token);
-            remember(target);
-            toNode(
+            recordSnapshot(target);
+            deliverToNode(
                 index, start,
                 [=, this] {
                     if (isRefused) {
@@ -1079,21 +1082,21 @@
         failed);
 }
 
-void World::restart(std::size_t engine)
+void TestCluster::restart(std::size_t engine)
 {
     Engine &target = m_engines[engine];
     ++target.start;
-    target.upAt = m_now + ColdStart;
+    target.readyAt = m_now + RestartTime;
     target.loaded.clear();
     target.running.clear();
     if (chance(0.5)) {
         target.highest = FencingToken();
     }
-    target.past.clear();
-    remember(target);
+    target.snapshots.clear();
+    recordSnapshot(target);
 }
 
-void World::remember(Engine &engine)
+void TestCluster::recordSnapshot(Engine &engine)
 {
     Snapshot snapshot { m_now, engine.highest, { engine.loaded.begin(), engine.loaded.end() }, {} };
     std::set<AdapterKey> inUse;
@@ -1101,23 +1104,23 @@
         inUse.insert(run.adapter);
     }
     snapshot.inUse.assign(inUse.begin(), inUse.end());
-    engine.past.push_back(std::move(snapshot));
-    while (engine.past.size() > 1 && engine.past[1].at < m_now - ReportLag) {
-        engine.past.pop_front();
+    engine.snapshots.push_back(std::move(snapshot));
+    while (engine.snapshots.size() > 1 && engine.snapshots[1].at < m_now - ReportLag) {
+        engine.snapshots.pop_front();
     }
 }
 
 // --- One-time payments.
 
-void World::callPayment()
+void TestCluster::startPayment()
 {
     const std::size_t from = anyNode();
     ExploredNode &node = m_nodes[from];
     const int start = node.start;
     const std::uint64_t payment = ++m_requests;
-    enter(from, start, [this, from, payment] {
-        ExploredNode &minter = m_nodes[from];
-        const IdempotencyKey key { minter.id, minter.incarnation, clockOf(minter), ++minter.keyCounter };
+    runOnNode(from, start, [this, from, payment] {
+        ExploredNode &mintingNode = m_nodes[from];
+        const IdempotencyKey key { mintingNode.id, mintingNode.incarnation, clockOf(mintingNode), ++mintingNode.keyCounter };
         const std::string text = key.encode(Secret);
         const int copies = static_cast<int>(draw(1, 4));
         for (int i = 0; i < copies; ++i) {
@@ -1127,14 +1130,14 @@
     });
 }
 
-void World::sendPayment(std::size_t to, const std::string &text, std::uint64_t payment, int hops, std::function<void(Outcome)> answer)
+void TestCluster::sendPayment(std::size_t to, const std::string &text, std::uint64_t payment, int hops, std::function<void(Outcome)> answer)
 {
     const int start = m_nodes[to].start;
-    enter(to, start, [=, this] {
+    runOnNode(to, start, [=, this] {
         ExploredNode &node = m_nodes[to];
         const auto key = IdempotencyKey::decode(text, Secret);
-        const bool isMine = key.value().node == node.id && key.value().incarnation == node.incarnation;
-        if (isMine || isLeftOut(Safeguard::KeyOwner)) {
+        const bool isLocalKey = key.value().node == node.id && key.value().incarnation == node.incarnation;
+        if (isLocalKey || isDisabled(Safeguard::KeyOwner)) {
             acceptPayment(to, key.value(), payment, answer);
             return;
         }
@@ -1147,7 +1150,7 @@
     });
 }
 
-void World::acceptPayment(std::size_t index, const IdempotencyKey &key, std::uint64_t payment, std::function<void(Outcome)> answer)
+void TestCluster::acceptPayment(std::size_t index, const IdempotencyKey &key, std::uint64_t payment, std::function<void(Outcome)> answer)
 {
     ExploredNode &node = m_nodes[index];
     const int start = node.start;
@@ -1167,7 +1170,7 @@
         --owner.active;
         if (outcome == Outcome::Served) {
             owner.ledger->complete(key, { 200, "text/plain", "receipt" });
-        } else if (isLeftOut(Safeguard::LedgerMemory)) {
+        } else if (isDisabled(Safeguard::LedgerMemory)) {
             owner.ledger = std::make_unique<Ledger>(KeyLifetime, 1000);
         } else {
             owner.ledger->fail(key);
@@ -1194,11 +1197,11 @@
     }
     after(delay, [=, this] {
         if (++m_paymentRuns[payment] > 1) {
-            violate(Invariant::RunsAtMostOnce,
+            recordViolation(Invariant::RunsAtMostOnce,
                 "payment " + std::to_string(payment) + " ran " + std::to_string(m_paymentRuns[payment]) + " times");
         }
         const bool isLost = chance(0.1);
-        after(Duration(draw(1, 300)), [=, this] { enter(index, start, [=] { finish(isLost ? Outcome::Unknown : Outcome::Served); }); });
+        after(Duration(draw(1, 300)), [=, this] { runOnNode(index, start, [=] { finish(isLost ? Outcome::Unknown : Outcome::Served); }); });
     });
 }
 
@@ -1244,9 +1247,9 @@
     return sum;
 }
 
-HistoryResult exploreHistory(std::uint64_t seed, int nodes, Safeguard leftOut)
+HistoryResult exploreHistory(std::uint64_t seed, int nodes, Safeguard disabled)
 {
-    return World(seed, nodes, leftOut).run();
+    return TestCluster(seed, nodes, disabled).run();
 }
 
 } // namespace Fakes
--- a/tests/fakes/exploration.h
+++ b/tests/fakes/exploration.h
@@ -72,6 +72,6 @@
 };
 
 /** One history of @p nodes nodes, 3 to 5; equal seeds give equal histories. */
-HistoryResult exploreHistory(std::uint64_t seed, int nodes, Safeguard leftOut);
+HistoryResult exploreHistory(std::uint64_t seed, int nodes, Safeguard disabled);
 
 } // namespace Fakes
--- a/tests/fakes/fakefleet.h
+++ b/tests/fakes/fakefleet.h
@@ -109,17 +109,17 @@
             }
         }
     }
-    /** Whether node @p of lists node @p other among those that live and stay. */
-    bool sees(std::size_t of, std::size_t other) const
+    /** Whether node @p observer lists node @p other among those that live and stay. */
+    bool sees(std::size_t observer, std::size_t other) const
     {
-        return nodes[of].membership->view()->node(ApricotStep::NodeId(name(other))) != nullptr;
+        return nodes[observer].membership->view()->node(ApricotStep::NodeId(name(other))) != nullptr;
     }
     /** Whether every node that is up sees exactly those that are up. */
     bool isAgreed() const
     {
-        for (std::size_t of = 0; of < nodes.size(); ++of) {
-            for (std::size_t other = 0; nodes[of].isUp && other < nodes.size(); ++other) {
-                if (sees(of, other) != nodes[other].isUp) {
+        for (std::size_t observer = 0; observer < nodes.size(); ++observer) {
+            for (std::size_t other = 0; nodes[observer].isUp && other < nodes.size(); ++other) {
+                if (sees(observer, other) != nodes[other].isUp) {
                     return false;
                 }
             }
@@ -139,14 +139,14 @@
     ApricotStep::MembershipLimits limits;
 
 private:
-    struct Flying
+    struct InFlightDatagram
     {
         ApricotStep::Time at;
         std::uint64_t order;
         std::size_t from;
         std::size_t to;
         std::shared_ptr<ApricotStep::MemberDatagram> datagram;
-        bool operator<(const Flying &other) const
+        bool operator<(const InFlightDatagram &other) const
         {
             return std::tie(other.at, other.order) < std::tie(at, order);
         }
@@ -176,16 +176,16 @@
         for (int copy = 0; copy < (chance() < duplication ? 2 : 1); ++copy) {
             if (chance() >= loss) {
                 const int delay = std::uniform_int_distribution<int>(1, maxDelayMs)(m_random);
-                m_flying.push({ m_now + ApricotStep::Duration(delay), ++m_order, from, to, shared });
+                m_inFlight.push({ m_now + ApricotStep::Duration(delay), ++m_order, from, to, shared });
             }
         }
     }
     void deliver()
     {
         const ApricotStep::Time end = m_now;
-        while (!m_flying.empty() && m_flying.top().at <= end) {
-            const Flying next = m_flying.top();
-            m_flying.pop();
+        while (!m_inFlight.empty() && m_inFlight.top().at <= end) {
+            const InFlightDatagram next = m_inFlight.top();
+            m_inFlight.pop();
             m_now = next.at;
             handle(next.to, ApricotStep::DatagramReceived { *next.datagram, address(next.from) });
         }
@@ -193,7 +193,7 @@
     }
 
     std::mt19937_64 m_random;
-    std::priority_queue<Flying> m_flying;
+    std::priority_queue<InFlightDatagram> m_inFlight;
     std::uint64_t m_order = 0;
     std::vector<std::string> m_zones;
     ApricotStep::Time m_now { 1000 };
