--- a/tests/fakes/exploration.cpp
+++ b/tests/fakes/exploration.cpp
@@ -91,8 +91,8 @@
     std::unique_ptr<UpstreamOwnership> ownership;
     std::unique_ptr<UpstreamScheduler> scheduler;
     std::map<RequestId, Call> calls;
-    std::vector<RequestId> heldDispatches;
-    std::vector<SchedulerAction> heldOrders;
+    std::vector<RequestId> pending;
+    std::vector<SchedulerAction> pendingOrders;
 };
 
 struct ExploredNode
@@ -764,9 +764,9 @@
         } else if (const auto *permitRequest = std::get_if<RequestPermit>(&action)) {
             schedulerEvent(index, engine, PermitGranted { permitRequest->adapter, clockOf(node) + Duration::seconds(5) });
         } else if (const auto *dispatch = std::get_if<Dispatch>(&action)) {
-            runner.heldDispatches.push_back(dispatch->id);
+            runner.pending.push_back(dispatch->id);
         } else if (std::holds_alternative<StartLoad>(action) || std::holds_alternative<StartEvict>(action)) {
-            runner.heldOrders.push_back(action);
+            runner.pendingOrders.push_back(action);
         }
     }
     tryHeld(index, engine);
@@ -784,15 +784,15 @@
 {
     EngineRunner &runner = m_nodes[index].runners[engine];
     std::vector<SchedulerAction> orders;
-    orders.swap(runner.heldOrders);
+    orders.swap(runner.pendingOrders);
     for (const SchedulerAction &order : orders) {
         if (!tryOrder(index, engine, order)) {
-            runner.heldOrders.push_back(order);
+            runner.pendingOrders.push_back(order);
         }
     }
-    std::vector<RequestId> heldDispatches;
-    heldDispatches.swap(runner.heldDispatches);
-    for (const RequestId id : heldDispatches) {
+    std::vector<RequestId> pending;
+    pending.swap(runner.pending);
+    for (const RequestId id : pending) {
         const auto at = runner.calls.find(id);
         if (at == runner.calls.end()) {
             schedulerEvent(index, engine, WorkFinished { id });
@@ -804,7 +804,7 @@
             schedulerEvent(index, engine, WorkFinished { id });
             end(index, call, Outcome::NotRun);
         } else {
-            runner.heldDispatches.push_back(id);
+            runner.pending.push_back(id);
         }
     }
 }
@@ -945,15 +945,15 @@
     const int start = m_nodes[index].start;
     const auto finish = [this, index, engine, id](Outcome outcome, std::uint64_t echoed, const AdapterKey &ran, bool isMissing) {
         EngineRunner &runner = m_nodes[index].runners[engine];
-        const auto heldDispatches = runner.calls.extract(id);
+        const auto pending = runner.calls.extract(id);
         if (isMissing) {
             schedulerEvent(index, engine, UpstreamRestarted {});
         }
         schedulerEvent(index, engine, WorkFinished { id });
-        if (heldDispatches.empty()) {
+        if (pending.empty()) {
             return;
         }
-        const Call &original = heldDispatches.mapped();
+        const Call &original = pending.mapped();
         if (outcome == Outcome::Served && ran != original.adapter) {
             recordViolation(Invariant::RightAdapter, "asked for " + original.adapter.name() + ", ran on " + ran.name());
         }
