--- a/coordination/attempt.cpp
+++ b/coordination/attempt.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-// Kinds that another attempt cannot change: the caller's own fault, its absence, or time that has run out.
+// Returns whether a retry cannot help: the request is invalid, the caller is gone or the deadline has passed.
 bool isFinal(ErrorKind kind)
 {
     switch (kind) {
@@ -39,7 +39,7 @@
     if (facts.hasSentToCaller) {
         return false;
     }
-    // A refusal for a missing adapter comes before execution by the engine's contract.
+    // Engines refuse a request for a missing adapter before execution.
     const bool hasNotRun = failure.phase == AttemptPhase::Queued || (failure.phase == AttemptPhase::Answered && failure.isAdapterMissing);
     return hasNotRun || facts.idempotency == Idempotency::Idempotent;
 }
@@ -52,12 +52,12 @@
         return giveUp;
     }
     const bool isOtherUpstream = facts.hasOtherUpstream && !failure.isAdapterMissing;
-    // A reload goes back through the queue at once; all that wait for it share one load.
+    // A request whose adapter must be reloaded is queued again without delay; all requests that wait for the adapter share one load.
     const Duration delay = isOtherUpstream || failure.isAdapterMissing ? Duration(0) : jitteredPause(facts.attempts, limits, random);
     if (now + delay >= facts.deadline) {
         return giveUp;
     }
-    // A refusal before execution costs the engine nothing, and one restart refuses a whole batch at once: it takes no budget.
+    // A refusal for a missing adapter takes no budget: it costs the engine nothing, and one restart refuses a whole batch at once.
     if (!failure.isAdapterMissing && !budget.take(now)) {
         return giveUp;
     }
--- a/coordination/attempt.h
+++ b/coordination/attempt.h
@@ -10,25 +10,26 @@
 namespace ApricotStep
 {
 
-// Load pattern: upstreams that restart, refuse connections, or die while a request is on its way.
-// Without these rules: a payment whose connection broke is sent again and charged twice; a stream of which the caller has read half begins
-// anew; a request is tried long after its caller has given up; or the restart of one engine becomes an error for every caller of its
-// adapters. The first two would show only at the service's books.
-// Grounds for the figures: three attempts reach the home of an adapter and two alternates; a fourth would wait for the same fault. The
-// first pause is about one reconnect; it doubles, with full jitter, so that those who failed together do not come back together.
+// Retry rules for upstreams that restart, refuse connections or die while a request is in flight.
+// Without these rules a payment whose connection broke is sent again and charged twice, a stream of which the caller has read half starts
+// over, a request is retried long after its caller has given up, or the restart of one engine becomes an error for every caller of its
+// adapters. The first two faults would only show in the service's own records.
+// Three attempts reach the preferred engine of an adapter and two alternatives; a fourth would meet the same fault. The initial backoff is
+// about the time of one reconnect. It doubles with full jitter so that requests that failed together are not retried together.
 
-/** How far one attempt at an upstream came. */
+/** How far an attempt at an upstream got. */
 enum class AttemptPhase {
-    /** Nothing can have left yet. */
+    /** No byte has been sent. */
     Queued,
-    /** The request may be on its way or running. */
+    /** The request may be in flight or running. */
     Sending,
-    /** The upstream's answer is known, a refusal included. */
+    /** The upstream has answered or refused the request. */
     Answered,
-    /** It was sent and its end will never be known. */
+    /** The request was sent and its outcome cannot be learned. */
     Unknown,
 };
 
+/** Whether a request may run more than once. */
 enum class Idempotency {
     /** Running it twice does no harm. */
     Idempotent,
@@ -36,7 +37,7 @@
     NonIdempotent,
 };
 
-/** The next attempt goes to... */
+/** Where the next attempt goes. */
 enum class RetryTarget {
     SameUpstream,
     OtherUpstream,
@@ -44,39 +45,39 @@
 
 struct RetryLimits
 {
-    /** Attempts of one request, the first included; at least 1. */
+    /** Attempts per request, including the first; at least 1. */
     int maxAttempts = 3;
     Duration initialBackoff { 20 };
     Duration maxBackoff { 500 };
 };
 
-/** An attempt that did not succeed. */
+/** A failed attempt. */
 struct AttemptFailure
 {
     AttemptPhase phase = AttemptPhase::Queued;
-    /** What the caller is told if nothing is tried again. */
+    /** The error that the caller gets if the request is not retried. */
     ErrorKind kind = ErrorKind::Internal;
-    /** The upstream refused before execution because it does not hold the adapter; a reload cures it. */
+    /** The upstream refused before execution because the adapter is not loaded there; a retry after loading it can succeed. */
     bool isAdapterMissing = false;
 };
 
-/** What is known of the request whose attempt failed. */
+/** The state of the request whose attempt failed. */
 struct RetryContext
 {
     Idempotency idempotency = Idempotency::Idempotent;
-    /** Some byte of an answer went to the caller. */
+    /** Whether any byte of an answer has been sent to the caller. */
     bool hasSentToCaller = false;
     /** Attempts made so far, at least 1. */
     int attempts = 1;
     Time deadline;
-    /** Whether there is another upstream that could take it. */
+    /** Whether another upstream could run the request. */
     bool hasOtherUpstream = false;
 };
 
 struct TryAgain
 {
     RetryTarget target = RetryTarget::SameUpstream;
-    /** Wait this long first. */
+    /** Time to wait before the retry. */
     Duration delay;
 };
 struct GiveUp
@@ -85,14 +86,17 @@
 };
 using RetryDecision = std::variant<TryAgain, GiveUp>;
 
-/** Whether running the request again cannot run it twice, as far as @p failure tells. Deadlines and budgets left aside. */
+/**
+ * Returns whether a retry after @p failure does no harm: no byte has reached the caller, and the request either did not run or is
+ * idempotent. Does not check deadlines or budgets.
+ */
 bool isSafeToRetry(const AttemptFailure &failure, const RetryContext &facts);
 
-/** Decides what follows a failed attempt. Takes from @p budget only when it says TryAgain. */
+/** Decides whether a failed attempt is retried. Takes from @p budget only if it returns TryAgain. */
 RetryDecision decideRetry(const AttemptFailure &failure, const RetryContext &facts, const RetryLimits &limits, RetryBudget &budget,
     std::mt19937_64 &random, Time now);
 
-/** The time left until @p deadline for a header of the upstream call, at least 1 ms. */
+/** Returns the time left until @p deadline for the deadline header of an upstream call; at least 1 ms. */
 Duration timeLeft(Time deadline, Time now);
 
 } // namespace ApricotStep
--- a/coordination/concurrencylimit.cpp
+++ b/coordination/concurrencylimit.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-// The usual latency forgets a better past slowly: a lasting slowdown becomes the new usual after some hundred windows, so that the limit
-// does not stay low for ever when the work itself changed.
+// The baseline rises slowly: a lasting slowdown becomes the new baseline after some hundred windows, so that the limit does not stay low
+// forever when the requests themselves have changed.
 constexpr double BaselineRiseWeight = 0.01;
 constexpr double BaselineFallWeight = 0.5;
 constexpr double MinReductionFactor = 0.5;
@@ -43,7 +43,7 @@
         m_baselineMs = recent;
     }
     const double gradient = std::clamp(m_bounds.tolerance * m_baselineMs / recent, MinReductionFactor, 1.0);
-    // An upstream that is not filled proves nothing about a higher limit.
+    // Good latency at an upstream that is less than half full does not justify a higher limit.
     const bool isSaturated = m_maxInFlight * 2 >= static_cast<int>(m_limit);
     const double growth = gradient >= 1.0 && isSaturated ? std::sqrt(m_limit) : 0;
     m_limit = std::clamp(m_limit * gradient + growth, static_cast<double>(m_bounds.min), static_cast<double>(m_bounds.max));
--- a/coordination/concurrencylimit.h
+++ b/coordination/concurrencylimit.h
@@ -5,36 +5,36 @@
 namespace ApricotStep
 {
 
-// Load pattern: an upstream becomes slow (a cold cache, a noisy neighbour, long prompts) while requests keep coming at the same rate.
-// Without a limit of its own: the published batch keeps being filled, what waits inside the upstream can neither be ordered by urgency nor
-// refused in time, and urgent requests queue there behind patient ones. One would notice first tokens late with a short queue here.
-// Grounds for the figures: the limit follows the ratio of the usual to the present latency (a gradient), so it needs no tuning for each
-// upstream. A tolerance of a half leaves the spread between short and long prompts alone. A window of ten samples or a quarter second
-// outlasts one batch step. The limit falls by at most half a window and grows by the square root of itself, so that it finds the published
-// batch again in about ten windows. It never falls below one: something must run to notice that the upstream is well again.
+// Adaptive limit for an upstream that becomes slow (a cold cache, a noisy neighbour, long prompts) while the request rate stays the same.
+// Without a limit per upstream the published batch keeps being filled: requests that wait inside the upstream can neither be ordered by
+// urgency nor refused in time, and urgent requests queue behind patient ones. The symptom is late first tokens with a short queue here.
+// The limit follows the ratio of baseline to recent latency (a gradient), so it needs no tuning per upstream. A tolerance of 1.5 ignores
+// the spread between short and long prompts. A window of ten samples or 250 ms outlasts one batch step. The limit falls by at most half
+// per window and grows by its square root, so that it returns to the published batch in about ten windows. It never falls below one
+// because only running requests can show that the upstream has recovered.
 
 struct ConcurrencyBounds
 {
     int min = 1;
-    /** The published batch of the upstream. */
+    /** The batch size that the upstream publishes. */
     int max = 16;
-    /** Latency may exceed the usual one by this factor before the limit falls; at least 1. */
+    /** The limit falls once the latency exceeds the baseline by more than this factor; at least 1. */
     double tolerance = 1.5;
     int windowSamples = 10;
     Duration windowTime { 250 };
 };
 
-/** Adapts how many requests may run on one upstream to the latency that it shows. Not thread-safe. */
+/** Limits the concurrent requests at one upstream by its measured latency. Not thread-safe. */
 class ConcurrencyLimit
 {
 public:
     explicit ConcurrencyLimit(ConcurrencyBounds bounds);
 
-    /** A request's latency (engines: sending to first byte; services: sending to end), with @p inFlight at its start. */
+    /** Records a latency (engines: sending to first byte; services: sending to end); @p inFlight requests were in flight at its start. */
     void onSample(Duration latency, int inFlight, Time now);
-    /** The upstream timed out, cut or refused for overload: halves the limit, at most once a window. */
+    /** The upstream timed out, cut the connection or refused for overload: halves the limit, at most once per window. */
     void onDropped(Time now);
-    /** Requests that may run at once now. */
+    /** The number of requests that may run at once now. */
     int limit() const;
 
 private:
@@ -42,7 +42,7 @@
 
     ConcurrencyBounds m_bounds;
     double m_limit;
-    /** Usual latency in ms: a slow mean that sinks quickly. 0 before the first window. */
+    /** Baseline latency in ms: a moving average that rises slowly and falls quickly; 0 before the first window. */
     double m_baselineMs = 0;
     double m_sumMs = 0;
     int m_samples = 0;
--- a/coordination/outlierdetector.cpp
+++ b/coordination/outlierdetector.cpp
@@ -10,20 +10,20 @@
 namespace
 {
 
-// Weight of the newest outcome in the recent share of failures: about the last ten count.
+// Weight of the newest outcome in the recent failure rate; about the last ten outcomes count.
 constexpr double NewestWeight = 0.1;
 
 struct UpstreamState
 {
     int consecutiveFailures = 0;
-    /** Recent share of failures, 0 to 1. */
+    /** Moving average of failures, 0 to 1. */
     double failureRate = 0;
     int ejections = 0;
-    /** Ejected before this. */
+    /** The end of the current or last ejection. */
     Time ejectedUntil;
-    /** The ramp starts here; Time() when there is none. */
+    /** The beginning of the slow start; Time() if there was none. */
     Time slowStartAt;
-    /** Since when it has been free of ejection; a long good time forgives. */
+    /** The end of the last ejection, from which the time without ejection is counted. */
     Time lastEjectionEnd;
     Time unreachableUntil;
 };
@@ -45,7 +45,7 @@
         const auto maxEjected = static_cast<int>(limits.maxEjectedShare * static_cast<double>(states.size()));
         return ejectedCount(now) < std::max(maxEjected, states.size() > 1 ? 1 : 0);
     }
-    // Ejected ones are left out: their share is old news and would make the next seem no worse than usual.
+    // Leaves out ejected upstreams: their failure rate is stale and would hide that another upstream is worse than the others.
     bool isWorseThanOthers(const UpstreamState &candidate, Time now) const
     {
         double sum = 0;
@@ -63,7 +63,7 @@
         constexpr int MaxDoublings = 16;
         return std::min(Duration(limits.baseEjectionTime.milliseconds() << std::min(ejections, MaxDoublings)), limits.maxEjectionTime);
     }
-    // Called before each outcome: an upstream that stayed well for as long as the longest ejection starts afresh.
+    // Called before each outcome: resets the ejection count of an upstream that was not ejected for the maximum ejection time.
     void resetOldEjections(UpstreamState &entry, Time now) const
     {
         if (entry.ejections > 0 && now > entry.lastEjectionEnd + limits.maxEjectionTime) {
@@ -123,7 +123,7 @@
     d->resetOldEjections(entry, now);
     ++entry.consecutiveFailures;
     entry.failureRate += (1 - entry.failureRate) * NewestWeight;
-    // One that just returned has no credit: a single failure of the first trial ejects it again.
+    // During the slow start after an ejection a single failure ejects the upstream again.
     const bool isInSlowStart = entry.slowStartAt != Time() && now < entry.slowStartAt + d->limits.slowStartTime;
     const bool isOutlier = entry.consecutiveFailures >= d->limits.failuresToEject || (isInSlowStart && entry.ejections > 0);
     if (!isOutlier || now < entry.ejectedUntil || !d->mayEjectOneMore(now) || !d->isWorseThanOthers(entry, now)) {
--- a/coordination/outlierdetector.h
+++ b/coordination/outlierdetector.h
@@ -9,38 +9,38 @@
 namespace ApricotStep
 {
 
-// Load pattern: one upstream of many fails or hangs while the others are well, flaps, or comes back cold.
-// Without ejection: its share of all requests pays a failed attempt each, for as long as the fault lasts. Without the comparison with the
-// others and the ceiling: a fault that all share (overload, a bad adapter, a lost zone) ejects one after the other, and the rest drowns.
-// Without the slow return: a restarted engine with empty caches gets a full share at once, fails again and flaps. One would notice a
-// saw-tooth in its failures. Grounds for the figures: five failures in a row happen by chance less than once in 10^5 requests at a tenth
-// failing. The first ejection lasts five seconds, about a restart of a process; each next one doubles to a minute, so that a flapping
-// upstream costs a few requests a minute. An outlier fails three more in ten than the others' mean: under a fault that all share no one
-// does. At most a third is ejected: the rest then has half as much again to bear.
+// Outlier detection for the case that one upstream of many fails, hangs, flaps or returns with cold caches while the others are healthy.
+// Without ejection every request of its share pays for a failed attempt for as long as the fault lasts. Without the comparison with the
+// others and the maximum share, a fault that all have in common (overload, a bad adapter, a lost zone) ejects one upstream after the other
+// and overloads the rest. Without the slow start a restarted engine with empty caches gets its full share at once, fails again and flaps,
+// which shows as a sawtooth in its failures.
+// With a tenth of the requests failing, five consecutive failures happen by chance about once in 10^5 requests. The first ejection
+// lasts 5 s, about the restart of a process; each further one lasts twice as long, up to a minute, so that a flapping upstream fails only
+// a few requests per minute. An outlier's failure rate exceeds the mean of the others by 0.3, which no upstream does in a fault that
+// all have in common. At most a third is ejected, so that the load of the others grows by half at most.
 
 struct OutlierLimits
 {
-    /** Failures in a row that eject; at least 1. */
+    /** Consecutive failures that eject an upstream; at least 1. */
     int failuresToEject = 5;
     Duration baseEjectionTime = Duration::seconds(5);
     Duration maxEjectionTime = Duration::seconds(60);
-    /** Time from the return of an upstream to its full share. */
+    /** Time from the return of an upstream until it gets its full share. */
     Duration slowStartTime = Duration::seconds(10);
-    /** Share at the start of the ramp, above 0 to 1. */
+    /** Share at the beginning of the slow start; greater than 0, at most 1. */
     double slowStartShare = 0.1;
-    /** Share of all upstreams that may be ejected at once, 0 to 1; one of two or more always may. */
+    /** Share of all upstreams that may be ejected at once, 0 to 1; of two or more upstreams one may always be ejected. */
     double maxEjectedShare = 0.34;
     /**
-     * After a connection that could not be made, an upstream is left alone for this long. Requests that could only go there wait for
-     * another place meanwhile; without it they try again at each look, and a crashed engine gets thousands of connections while its callers
-     * wait.
+     * How long an upstream gets no requests after a connection attempt failed. Requests that can only go there wait meanwhile; without this
+     * backoff they would connect again at each placement decision, and a crashed engine would get thousands of connection attempts.
      */
     Duration unreachableBackoff { 300 };
-    /** Only an upstream whose recent share of failures exceeds the mean of the others by this is ejected. */
+    /** Only an upstream whose recent failure rate exceeds the mean of the others by this much is ejected. */
     double failureRateMargin = 0.3;
 };
 
-/** Watches the outcomes of upstreams and says how much of its share each should get. Not thread-safe. */
+/** Tracks the outcomes of requests at upstreams and decides how much of its share each upstream gets. Not thread-safe. */
 class OutlierDetector
 {
 public:
@@ -49,22 +49,22 @@
     OutlierDetector(OutlierDetector &&) noexcept;
     OutlierDetector &operator=(OutlierDetector &&) noexcept;
 
-    /** The upstreams that exist now; others are forgotten. Without this call an upstream is known from its first outcome. */
+    /** Sets the known upstreams and removes all others. Upstreams are also added with their first outcome. */
     void setUpstreams(const std::vector<UpstreamId> &upstreams);
-    /** It is gone. Kept, it would count among those ejected, and a sick one could not be ejected any more. */
+    /** Removes an upstream that is gone; it would otherwise count as ejected and could prevent the ejection of a failing one. */
     void remove(const UpstreamId &upstream);
     void onSuccess(const UpstreamId &upstream, Time now);
-    /** A failure that the upstream caused: unreachable, cut, timed out, 5xx. Never a refusal that is the caller's fault. */
+    /** A failure that the upstream caused: unreachable, cut connection, timeout, 5xx. Not for refusals that the caller caused. */
     void onFailure(const UpstreamId &upstream, Time now);
-    /** No connection could be made. */
+    /** A connection attempt failed. */
     void onUnreachable(const UpstreamId &upstream, Time now);
-    /** It came back cold: from here on its share grows slowly. */
+    /** The upstream restarted with cold caches: begins a slow start unless the upstream is ejected. */
     void onRestart(const UpstreamId &upstream, Time now);
 
-    /** False right after a connection failed. */
+    /** Returns false during the backoff after a failed connection attempt. */
     bool isReachable(const UpstreamId &upstream, Time now) const;
     bool isEjected(const UpstreamId &upstream, Time now) const;
-    /** 0 when ejected, else from the start share of its ramp to 1. */
+    /** 0 if ejected; during a slow start the share that it has reached; otherwise 1. */
     double share(const UpstreamId &upstream, Time now) const;
     int ejectedCount(Time now) const;
 
--- a/coordination/retrybudget.h
+++ b/coordination/retrybudget.h
@@ -5,36 +5,36 @@
 namespace ApricotStep
 {
 
-// Load pattern: an upstream fails or slows down, and every request that it fails is sent again.
-// Without a budget: with up to A attempts a request, a failing fleet gets A times its load at the moment when it can bear least, and stays
-// down after the cause has gone. One would notice that sent requests rise while goodput falls.
-// Grounds for the figures: the share bounds the multiplication of load at 1 + share whatever fails. A tenth covers what restarts cause on
-// an ordinary day many times over and still is no load that tips an upstream over. The reserve lets a burst of failures by one restarting
-// upstream (about one batch) through; the trickle lets a quiet node, which earns nothing, repeat a lone failure.
+// Bounds retries when an upstream fails or slows down and every failed request is sent again.
+// Without a budget, with up to A attempts per request, failing upstreams get A times their load when they can bear it least, and stay down
+// after the cause has gone. The symptom is that sent requests rise while goodput falls.
+// The share bounds the load at 1 + share times the original load, whatever fails. A tenth covers the failures that restarts cause on an
+// ordinary day many times over, and is too little extra load to overload an upstream. The reserve covers the burst of failures of one
+// restarting upstream (about one batch). The minimum rate lets a node without traffic, which earns no retries, retry a single failure.
 
 struct RetryBudgetLimits
 {
     /** Retries that one success earns, 0 to 1. */
     double share = 0.1;
-    /** Retries that can be saved up; also what a fresh budget holds. */
+    /** Retries that can be saved up; a new budget starts with this many. */
     double reserve = 16;
-    /** Retries a second earned without any success. */
+    /** Retries per second earned without any success. */
     double minRetriesPerSecond = 0.5;
 };
 
-/** Lets retries be at most a share of the successful traffic. A token bucket; not thread-safe. */
+/** A token bucket that limits retries to a share of the successful requests. Not thread-safe. */
 class RetryBudget
 {
 public:
     RetryBudget(RetryBudgetLimits limits, Time now);
 
-    /** From now on; what was saved up beyond the new reserve is gone. */
+    /** Applies new limits; saved retries above the new reserve are lost. */
     void setLimits(RetryBudgetLimits limits, Time now);
-    /** A request ended well. */
+    /** A request succeeded. */
     void onSuccess(Time now);
-    /** Takes one retry out; false when there is none to take. */
+    /** Takes one retry; returns false if none is available. */
     bool take(Time now);
-    /** Retries that could be taken now. */
+    /** The number of retries available now. */
     double available(Time now);
 
 private:
--- a/tests/coordination/testupstreamtrouble.cpp
+++ b/tests/coordination/testupstreamtrouble.cpp
@@ -39,10 +39,10 @@
 
 } // namespace
 
-Test(retrybudget, aRetryStormIsHeldToAShareOfTheTraffic)
+Test(retrybudget, retriesAreLimitedToAShareOfTheTraffic)
 {
-    // All upstreams fail for a while and every request wants two more attempts. Unbounded, the fleet would get three times its load just
-    // when it is weakest, and callers would see the outage last after its cause is gone.
+    // All upstreams fail for a while and every request needs two more attempts. Without a bound the upstreams would get three times their
+    // load when they can bear it least, and the outage would outlast its cause.
     RetryBudget budget({ 0.1, 16, 0 }, Time(0));
     int retries = 0;
     for (int i = 0; i < 1000; ++i) {
@@ -54,7 +54,7 @@
     cr_assert_geq(retries, 16 + 48);
 }
 
-Test(retrybudget, aQuietNodeMayStillRepeatALoneFailure)
+Test(retrybudget, aNodeWithoutTrafficMayRetryASingleFailure)
 {
     RetryBudget budget({ 0.1, 1, 0.5 }, Time(0));
     cr_assert(budget.take(Time(0)));
@@ -62,9 +62,9 @@
     cr_assert(budget.take(Time(2000)));
 }
 
-Test(attempt, aPaymentThatMayHaveBeenSentIsNeverRepeated)
+Test(attempt, aPaymentThatMayHaveBeenSentIsNotRetried)
 {
-    // The service dies after it took the payment. The caller must learn that the outcome is unknown; a second try could charge twice.
+    // The service dies after it has received the payment. The caller must get an unknown outcome; a retry could charge twice.
     Retrying retrying;
     for (const AttemptPhase phase : { AttemptPhase::Sending, AttemptPhase::Unknown, AttemptPhase::Answered }) {
         cr_assert_not(retrying.triesAgain({ phase, ErrorKind::UpstreamFailed }, facts(Idempotency::NonIdempotent)));
@@ -72,16 +72,16 @@
     cr_assert(retrying.triesAgain({ AttemptPhase::Queued, ErrorKind::UpstreamUnreachable }, facts(Idempotency::NonIdempotent)));
 }
 
-Test(attempt, anAnswerThatTheCallerHasBegunToReadIsNotBegunAnew)
+Test(attempt, aPartlyReadAnswerIsNotRetried)
 {
-    // An engine dies in the middle of a stream. Begun anew, the caller would read the first half twice.
+    // An engine dies in the middle of a stream. After a retry the caller would read the first half twice.
     Retrying retrying;
     RetryContext begun = facts(Idempotency::Idempotent);
     begun.hasSentToCaller = true;
     cr_assert_not(retrying.triesAgain({ AttemptPhase::Unknown, ErrorKind::UpstreamFailed }, begun));
 }
 
-Test(attempt, nothingIsTriedPastTheDeadlineOrForTheCallersOwnFault)
+Test(attempt, noRetryPastTheDeadlineOrForAnErrorOfTheCaller)
 {
     Retrying retrying;
     const AttemptFailure unreachable { AttemptPhase::Queued, ErrorKind::UpstreamUnreachable };
@@ -92,9 +92,9 @@
     cr_assert_eq(timeLeft(Time(10), Time(500)), Duration(1));
 }
 
-Test(attempt, aMissingAdapterIsReloadedWhereItWasWithoutBudget)
+Test(attempt, aMissingAdapterIsReloadedOnItsEngineWithoutBudget)
 {
-    // An engine restarted and lost its adapters: a whole batch is refused at once, before anything ran. Each must get its answer.
+    // An engine restarts without its adapters and refuses a whole batch at once, before execution. Each request must still be answered.
     Retrying retrying;
     retrying.budget = RetryBudget({ 0.1, 0, 0 }, Time(0));
     const auto decision = decideRetry({ AttemptPhase::Answered, ErrorKind::UpstreamRefused, true }, facts(Idempotency::Idempotent), {},
@@ -104,9 +104,9 @@
     cr_assert_not(retrying.triesAgain({ AttemptPhase::Queued, ErrorKind::UpstreamUnreachable }, facts(Idempotency::Idempotent)));
 }
 
-// An engine crashed a moment ago and is still listed. Its adapters stand nowhere else, so each waiting request tries it again at each look:
-// thousands of connections that cannot be made, and no node has time left for the callers that could be served.
-Test(outliers, anUnreachableUpstreamIsLeftAloneForAWhile)
+// An engine has just crashed and is still listed. Its adapters are loaded on no other engine, so without a backoff each waiting request
+// would try it again at each placement decision: thousands of failed connections that leave no node time for requests that could be served.
+Test(outliers, anUnreachableUpstreamHasABackoff)
 {
     OutlierDetector outliers({});
     outliers.setUpstreams(upstreams(9));
@@ -116,9 +116,9 @@
     cr_assert(outliers.isReachable(Sick, Time(1400)));
 }
 
-// Engines come and go all day under new ids. If those that are gone stayed among the ejected, a third of all would soon be, and the next
-// one that fails would go on getting requests.
-Test(outliers, thoseThatAreGoneDoNotCountAsEjected)
+// Engines come and go all day under new ids. If removed engines counted as ejected, the limit of a third would soon be reached, and the
+// next failing engine would keep getting requests.
+Test(outliers, removedUpstreamsDoNotCountAsEjected)
 {
     OutlierDetector outliers({});
     for (int old = 0; old < 4; ++old) {
@@ -132,9 +132,10 @@
     cr_assert_eq(outliers.ejectedCount(Time(10)), 0);
 }
 
-Test(outliers, aFailingUpstreamIsEjectedAndReturnsSlowly)
+Test(outliers, aFailingUpstreamIsEjectedAndStartsSlowly)
 {
-    // One engine of nine hangs. Its callers would each lose an attempt; after its return a full share at once would fail it again.
+    // One engine of nine hangs. Without ejection each request sent there would lose an attempt; with its full share right after its return
+    // it would fail again.
     OutlierDetector outliers({});
     outliers.setUpstreams(upstreams(9));
     for (int i = 0; i < 4; ++i) {
@@ -150,9 +151,10 @@
     cr_assert_eq(outliers.share(Sick, back + Duration(10'000)), 1);
 }
 
-Test(outliers, aFlappingUpstreamIsOutForLongerEachTime)
+Test(outliers, aFlappingUpstreamIsEjectedForLongerEachTime)
 {
-    // An upstream works for a moment after each restart and fails again. Callers would meet it anew every few seconds.
+    // An upstream works briefly after each restart and fails again. With ejections of constant length it would fail requests every few
+    // seconds.
     OutlierDetector outliers({});
     outliers.setUpstreams(upstreams(9));
     int failures = 0;
@@ -166,10 +168,10 @@
     cr_assert_leq(failures, 20);
 }
 
-Test(outliers, aFaultThatAllShareEjectsNone)
+Test(outliers, aFaultOfAllUpstreamsEjectsNone)
 {
-    // A bad adapter fails on every engine, or all of them are overloaded. Each ejection would push its load onto the rest, until callers
-    // of good adapters find no upstream at all.
+    // A bad adapter fails on every engine, or all engines are overloaded. Each ejection would move load to the others, until requests for
+    // good adapters have no upstream at all.
     OutlierDetector outliers({});
     const auto all = upstreams(9);
     outliers.setUpstreams(all);
@@ -181,9 +183,9 @@
     cr_assert_eq(outliers.ejectedCount(Time(100)), 0);
 }
 
-Test(outliers, noMoreThanAThirdIsEjectedAndALoneOneNever)
+Test(outliers, atMostAThirdIsEjectedAndASingleUpstreamNever)
 {
-    // Five of nine engines fail at once. The other four cannot bear the load of all; some of the failing ones must go on being tried.
+    // Five of nine engines fail at once. The other four cannot bear the whole load, so some of the failing ones must still get requests.
     OutlierDetector outliers({});
     const auto all = upstreams(9);
     outliers.setUpstreams(all);
@@ -212,10 +214,10 @@
     cr_assert_eq(outliers.share(Sick, Time(12'000)), 1);
 }
 
-Test(concurrencylimit, aSlowUpstreamGetsLessAndIsFilledAgainWhenWell)
+Test(concurrencylimit, theLimitFollowsASlowdownAndARecovery)
 {
-    // A noisy neighbour makes an engine three times slower for a while. Work sent on at the old rate would wait inside the engine, where
-    // urgent requests cannot pass; after the trouble the engine must not stay half empty.
+    // A noisy neighbour makes an engine three times slower for a while. Requests sent at the old rate would wait inside the engine, where
+    // urgent ones cannot overtake; after the slowdown the engine must get its full batch again.
     ConcurrencyLimit limit({ 1, 16 });
     Time now(0);
     const auto run = [&](int samples, int milliseconds) {
@@ -233,7 +235,7 @@
     cr_assert_eq(limit.limit(), 16);
 }
 
-Test(concurrencylimit, droppedRequestsHalveItOnceAWindow)
+Test(concurrencylimit, droppedRequestsHalveTheLimitOncePerWindow)
 {
     ConcurrencyLimit limit({ 1, 16 });
     for (int i = 0; i < 16; ++i) {
@@ -242,9 +244,9 @@
     cr_assert_eq(limit.limit(), 8);
 }
 
-// A hundred nodes restart together and hear of a few others first, so each takes a fourth of the fleet's allowance for its own. Once it
-// hears of all, what it saved up beyond its part is gone; else upstreams that fail get many times the repeats that the operators allow.
-Test(retrybudget, aSmallerPartTakesBackWhatWasSavedUp)
+// A hundred nodes restart together and know only a few others at first, so each takes a quarter of the fleet's retry budget. Once a node
+// knows all others, it must lose the retries saved beyond its part; otherwise failing upstreams get many times the allowed retries.
+Test(retrybudget, aSmallerReserveRemovesSavedRetries)
 {
     RetryBudget budget({ 0.1, 50, 0 }, Time(0));
     cr_assert_eq(budget.available(Time(0)), 50);
