--- a/coordination/handoffs.h
+++ b/coordination/handoffs.h
@@ -11,15 +11,15 @@
 namespace ApricotStep
 {
 
-/** Which nodes answer for the one-time requests of starts that have left. Not thread-safe. */
+/** Tracks which nodes took over the ledgers of one-time requests from nodes that have left. Not thread-safe. */
 class HandOffs
 {
 public:
-    /** @p lifetime: of keys; afterwards nobody asks about them with a use. */
+    /** @p lifetime: the lifetime of keys; an entry that was not refreshed for this long expires, since all keys it covers have expired. */
     explicit HandOffs(Duration lifetime);
 
     void learn(const HandOffFact &fact, Time now);
-    /** The nodes that took that start's ledger, the last learnt first; more than one when a successor has left too. */
+    /** The nodes that took the ledger of this incarnation, the last learned first; more than one if a successor has left too. */
     std::vector<NodeId> successors(const NodeId &node, Incarnation incarnation) const;
     void expire(Time now);
 
--- a/coordination/idempotencykey.h
+++ b/coordination/idempotencykey.h
@@ -10,21 +10,21 @@
 namespace ApricotStep
 {
 
-/** What a minted idempotency key says: which start of which node may run the request, and since when. */
+/** An idempotency key: names the node and incarnation that may run the request, and when the key was issued. */
 struct IdempotencyKey
 {
     NodeId node;
     Incarnation incarnation;
     /**
-     * When it was minted, on that node's steady clock: only the same incarnation ever judges it, and a wall clock that steps back would
-     * bring an expired key, whose entry is gone, back to life and let it run twice.
+     * When the key was issued, on the steady clock of its node: it is only compared with times of the same incarnation. With a wall clock
+     * that steps back, an expired key, whose ledger entry is removed, would become valid again and its request could run twice.
      */
     Time mintedAt;
     std::uint64_t counter = 0;
 
-    /** The key as callers carry it, signed with the fleet's secret. */
+    /** The key as text for callers, signed with the fleet's secret. */
     std::string encode(std::string_view secret) const;
-    /** Errors: KeyInvalid for anything that encode() did not make under @p secret. */
+    /** Parses a key. Fails with KeyInvalid for any text that encode() did not produce with @p secret. */
     static Result<IdempotencyKey> decode(std::string_view text, std::string_view secret);
 };
 
--- a/coordination/ledger.cpp
+++ b/coordination/ledger.cpp
@@ -27,7 +27,7 @@
     EntryState state = EntryState::Accepted;
 };
 
-// An entry, its key, the share of the table that is empty, and the parts on the heap: see bench/ledger.cpp.
+// Covers an entry, its key, its share of the empty part of the hash table, and its heap allocations; see bench/ledger.cpp.
 constexpr std::size_t EntryBytes = 256;
 
 std::size_t answerBytes(const StoredAnswer &answer)
@@ -54,10 +54,10 @@
     std::size_t bytes = 0;
     bool isAccepting = true;
     bool isSealed = false;
-    // Keys of this node and incarnation differ in their counters only.
+    // By counter, which identifies a key within this incarnation of the node.
     absl::flat_hash_map<std::uint64_t, Entry> entries;
 
-    // What an entry counts for: room for the largest answer while its own is not known yet.
+    // The memory charged to an entry; until the outcome is known it includes the largest answer that can be stored.
     std::size_t charge(const Entry &entry) const
     {
         switch (entry.state) {
@@ -211,7 +211,7 @@
     std::size_t bytes = 0;
     absl::flat_hash_map<std::uint64_t, LedgerRecord> records;
 
-    // The time on the clock of the start that left, had it gone on.
+    // The present time on the steady clock of the incarnation that left.
     Time originTime(Time now) const
     {
         return sealedAt + (now - receivedAt);
--- a/coordination/ledger.h
+++ b/coordination/ledger.h
@@ -13,27 +13,27 @@
 namespace ApricotStep
 {
 
-/** The stored answer to a one-time request. */
+/** The stored answer of a one-time request. */
 struct StoredAnswer
 {
     int status = 0;
     std::string contentType;
     std::string body;
-    /** SHA-256 in hexadecimal digits of a body that was too large to keep; empty when the body is here. */
+    /** SHA-256 in hexadecimal digits of a body that was too large to store; empty if the body is stored. */
     std::string droppedHash;
-    /** Size of that body. */
+    /** Size of the body that was too large to store. */
     std::size_t droppedBytes = 0;
 };
 
-/** Run the request now; the ledger holds the key as accepted. */
+/** Run the request now; the ledger has recorded the key as accepted. */
 struct RunNow
 {
 };
-/** The first arrival is still running; the ledger hands out its outcome later. */
+/** The first request with this key is still running; wait for its outcome. */
 struct WaitForFirst
 {
 };
-/** The first arrival ended: this is its answer. */
+/** The first request with this key has ended with this answer. */
 struct Replay
 {
     StoredAnswer answer;
@@ -45,74 +45,74 @@
 };
 using LedgerDecision = std::variant<RunNow, WaitForFirst, Replay, RefuseKey>;
 
-/** One sent one-time request as it is handed to a successor. Those that were never sent are left out: they did not run. */
+/** A one-time request as handed over to a successor. Requests that were never sent did not run and are left out. */
 struct LedgerRecord
 {
     std::uint64_t counter = 0;
     std::string bodyHash;
-    /** Unset when the request was sent and its outcome is not known. */
+    /** False if the request was sent and its outcome is unknown. */
     bool isAnswered = false;
     StoredAnswer answer;
 };
 
-/** All that one start of a node knows of its one-time requests after it runs none any more. */
+/** The ledger of one incarnation of a node after it has stopped running one-time requests. */
 struct SealedLedger
 {
     NodeId node;
     Incarnation incarnation;
-    /** On that start's steady clock; it means something only beside the mint times of its own keys. */
+    /** On the steady clock of that incarnation; comparable only with the mint times of its own keys. */
     Time sealedAt;
     Duration lifetime;
     std::vector<LedgerRecord> records;
 };
 
-/** Memory that a ledger may take. */
+/** Memory limits of a ledger, in bytes. */
 struct LedgerMemoryLimits
 {
     std::size_t total = 32U << 20U;
-    /** An answer with a longer body is stored as its status, hash and size. */
+    /** Of an answer with a longer body only the status, hash and size are stored. */
     std::size_t answer = 16U << 10U;
 };
 
 /**
- * Which one-time requests this start of this node has accepted, and how they ended.
+ * Records which one-time requests this incarnation of the node has accepted, and their outcomes.
  *
- * A one-time request that ran twice shows as a doubled payment at the plain service. The ledger prevents it because only the node and
- * incarnation that minted the key may run it, the first arrival is recorded before anything is sent, and an entry is kept until the
- * key is too old to be accepted at all. Not thread-safe; the caller holds the shard's lock.
+ * A one-time request that runs twice causes, for example, a doubled payment. The ledger prevents this: only the node and incarnation that
+ * issued the key may run the request, the first arrival is recorded before anything is sent, and an entry is kept until its key has
+ * expired. Not thread-safe; the caller holds the shard's lock.
  *
- * Load: a flood of one-time requests, or of large answers to them. Without a bound the node's memory would end, and with it the memory of
- * every payment; dropping entries instead would let their repeats run twice. So room for the largest answer that is kept is set aside
- * before a request runs, and one without room is refused as not run.
+ * The memory is bounded against a flood of one-time requests or of large answers. Without a bound the node would run out of memory and
+ * lose the record of every payment; dropping entries instead would let repeated requests run twice. Memory for the largest stored answer
+ * is therefore reserved before a request runs, and a request that does not fit is refused as not run.
  */
 class Ledger
 {
 public:
-    /** @p lifetime: how long a key is good for; @p capacity: entries kept at most, at least 1. */
+    /** @p lifetime: how long a key is valid; @p capacity: the maximum number of entries, at least 1. */
     Ledger(Duration lifetime, std::size_t capacity, LedgerMemoryLimits limits = {});
     ~Ledger();
 
-    /** Decides on an arrival under @p key with a body of hash @p bodyHash at steady time @p now. */
+    /** Decides about a request with @p key and a body of hash @p bodyHash that arrives at steady time @p now. */
     LedgerDecision accept(const IdempotencyKey &key, const std::string &bodyHash, Time now);
-    /** The request left for the upstream: from here on it may have run. Returns false when it must not be sent. */
+    /** Called right before the request is sent; from then on it may have run. Returns false if it must not be sent. */
     bool markSent(const IdempotencyKey &key);
-    /** It ended with an answer of the upstream. */
+    /** The request ended with an answer of the upstream. */
     void complete(const IdempotencyKey &key, StoredAnswer answer);
-    /** It ended without: forgotten when it was never sent, remembered as of unknown outcome otherwise. */
+    /** The request ended without an answer: removes it if it was never sent, otherwise records its outcome as unknown. */
     void fail(const IdempotencyKey &key);
-    /** Drops the entries whose keys have expired. Nothing unexpired is ever dropped. */
+    /** Removes finished requests whose keys have expired. No entry is removed before its key expires. */
     void expire(Time now);
 
-    /** From here on a key that is not here is refused as not run; those in progress go on. */
+    /** Refuses requests with unknown keys as not run from now on; those in progress continue. */
     void stopAccepting();
     /**
-     * From here on nothing is sent any more: what was accepted and not sent has not run and never will. Appends what was sent to
-     * @p records, for the successor.
+     * Forbids sending from now on: requests that were accepted but not sent have not run and never will. Appends the requests that were
+     * sent to @p records, for the successor.
      */
     void seal(std::vector<LedgerRecord> &records);
 
     std::size_t size() const;
-    /** Memory charged, room set aside for answers included. */
+    /** Memory charged to the entries, including the memory reserved for answers. */
     std::size_t bytes() const;
 
 private:
@@ -120,24 +120,25 @@
     std::unique_ptr<Private> d;
 };
 
-/** The ledger of a node that has left, as its successor answers from it. It never runs anything. */
+/** The ledger of a node that has left, which its successor uses to answer repeated requests. No request runs from it. */
 class InheritedLedger
 {
 public:
-    /** @p now: this node's steady clock when the ledger came. */
+    /** @p now: when the ledger was received, on this node's steady clock. */
     InheritedLedger(SealedLedger ledger, Time now);
     ~InheritedLedger();
     InheritedLedger(InheritedLedger &&) noexcept;
     InheritedLedger &operator=(InheritedLedger &&) noexcept;
 
     /**
-     * Decides on an arrival. A key that is not here was never sent and never will be: the refusal is KeyRequired, so that the caller
-     * gets a fresh key. The way here took time that is not counted, so a key may live that much longer, never shorter.
+     * Decides about a request. A request whose key is not in the ledger was never sent and never will be: it is refused with KeyRequired,
+     * so that the caller gets a new key. The transfer time of the ledger is not counted, so a key may be valid that much longer, but
+     * never shorter.
      */
     LedgerDecision accept(const IdempotencyKey &key, const std::string &bodyHash, Time now) const;
-    /** Every key of that start has expired. */
+    /** Returns whether all keys of that incarnation have expired. */
     bool isOver(Time now) const;
-    /** For the next successor. */
+    /** Returns the ledger for the next successor. */
     SealedLedger handOver(Time now) const;
     std::size_t size() const;
     std::size_t bytes() const;
--- a/tests/coordination/testledger.cpp
+++ b/tests/coordination/testledger.cpp
@@ -28,9 +28,9 @@
 
 } // namespace
 
-Test(ledger, aRepeatGetsTheFirstOutcome)
+Test(ledger, aRepeatedRequestGetsTheFirstOutcome)
 {
-    // A caller sends its payment, loses the connection and sends again with the same key. It must see one receipt, not two charges.
+    // Guards against a payment that is charged twice when a caller loses its connection and sends it again with the same key.
     Ledger ledger(Lifetime, 10);
     cr_assert(is<RunNow>(ledger.accept(key(1), "h", Time(1001))));
     cr_assert(is<WaitForFirst>(ledger.accept(key(1), "h", Time(1002))));
@@ -41,9 +41,9 @@
     cr_assert(std::get<Replay>(replay).answer.body == "receipt 1");
 }
 
-Test(ledger, aSentRequestWithoutAnswerNeverRunsAgain)
+Test(ledger, aSentRequestWithoutAnswerDoesNotRunAgain)
 {
-    // The connection to the payment service breaks after the request left. Nobody knows whether it ran, so it must not run again.
+    // The connection to the payment service breaks after the request was sent. It may have run, so it must not run again.
     Ledger ledger(Lifetime, 10);
     ledger.accept(key(1), "h", Time(1001));
     ledger.markSent(key(1));
@@ -51,7 +51,7 @@
     cr_assert(isRefused(ledger.accept(key(1), "h", Time(1002)), ErrorKind::OutcomeUnknown));
 }
 
-Test(ledger, aRequestThatNeverLeftMayRunLater)
+Test(ledger, aRequestThatWasNotSentMayRunLater)
 {
     Ledger ledger(Lifetime, 10);
     ledger.accept(key(1), "h", Time(1001));
@@ -59,9 +59,9 @@
     cr_assert(is<RunNow>(ledger.accept(key(1), "h", Time(1002))));
 }
 
-Test(ledger, nothingUnexpiredIsDroppedWhenFull)
+Test(ledger, aFullLedgerKeepsUnexpiredEntries)
 {
-    // A flood of one-time requests fills the memory. Forgetting an old one to make room would let its repeat run twice.
+    // A flood of one-time requests fills the ledger. Removing an old entry to make room would let its repeated request run twice.
     Ledger ledger(Lifetime, 1);
     ledger.accept(key(1), "h", Time(1001));
     cr_assert(isRefused(ledger.accept(key(2), "h", Time(1002)), ErrorKind::LedgerFull));
@@ -74,20 +74,20 @@
     cr_assert(isRefused(ledger.accept(key(1), "h", Time(1000) + Lifetime), ErrorKind::KeyExpired));
 }
 
-Test(ledger, aDifferentBodyUnderTheSameKeyIsRefused)
+Test(ledger, aDifferentBodyWithTheSameKeyIsRefused)
 {
     Ledger ledger(Lifetime, 10);
     ledger.accept(key(1), "h", Time(1001));
     cr_assert(isRefused(ledger.accept(key(1), "other", Time(1002)), ErrorKind::KeyMismatch));
 }
 
-Test(idempotencykey, onlyAKeyMintedWithTheSecretIsRead)
+Test(idempotencykey, onlyKeysSignedWithTheSecretAreAccepted)
 {
     const std::string text = key(42).encode("a secret of the fleet");
-    const auto read = IdempotencyKey::decode(text, "a secret of the fleet");
-    cr_assert(read.isOk());
-    cr_assert(read.value().node == NodeId("n1"));
-    cr_assert_eq(read.value().counter, 42);
+    const auto decoded = IdempotencyKey::decode(text, "a secret of the fleet");
+    cr_assert(decoded.isOk());
+    cr_assert(decoded.value().node == NodeId("n1"));
+    cr_assert_eq(decoded.value().counter, 42);
     cr_assert_not(IdempotencyKey::decode(text, "another secret").isOk());
     cr_assert_not(IdempotencyKey::decode("ik1.n1.5.1000.43" + text.substr(text.rfind('.')), "a secret of the fleet").isOk());
     cr_assert_not(IdempotencyKey::decode("", "a secret of the fleet").isOk());
@@ -105,27 +105,27 @@
 
 } // namespace
 
-Test(ledger, aSealedLedgerRunsNothingAndStillAnswers)
+Test(ledger, aSealedLedgerRunsNothingButStillReplays)
 {
-    // A node shuts down while callers repeat payments at it. It must run none of them any more, and say truthfully what became of each.
+    // A node shuts down while callers repeat payments there. It must run none of them any more and still report the outcome of each.
     Ledger ledger(Lifetime, 10);
     ledger.accept(key(1), "h", Time(1001));
     ledger.markSent(key(1));
     ledger.complete(key(1), { 200, "text/plain", "receipt 1" });
     ledger.accept(key(2), "h", Time(1001));
     ledger.stopAccepting();
-    cr_assert(isRefused(ledger.accept(key(3), "h", Time(1002)), ErrorKind::Draining), "a key not seen yet does not run");
-    cr_assert(is<WaitForFirst>(ledger.accept(key(2), "h", Time(1002))), "what is in progress goes on");
+    cr_assert(isRefused(ledger.accept(key(3), "h", Time(1002)), ErrorKind::Draining), "a request with an unknown key does not run");
+    cr_assert(is<WaitForFirst>(ledger.accept(key(2), "h", Time(1002))), "requests in progress continue");
     const SealedLedger sealed = sealOf(ledger, Time(1003));
     cr_assert_not(ledger.markSent(key(2)));
     cr_assert(isRefused(ledger.accept(key(2), "h", Time(1004)), ErrorKind::Draining));
     cr_assert(is<Replay>(ledger.accept(key(1), "h", Time(1004))));
-    cr_assert_eq(sealed.records.size(), 1, "what was never sent is not handed over");
+    cr_assert_eq(sealed.records.size(), 1, "a request that was never sent is not handed over");
 }
 
-Test(ledger, aSuccessorAnswersForTheNodeThatLeft)
+Test(ledger, aSuccessorReplaysForTheNodeThatLeft)
 {
-    // The node that took a payment is replaced. A repeat at its successor must get the receipt, or the truth when there is none.
+    // The node that ran a payment has left. A repeated request at its successor must get the receipt, or the right error if there is none.
     Ledger ledger(Lifetime, 10);
     ledger.accept(key(1), "h", Time(1001));
     ledger.markSent(key(1));
@@ -135,22 +135,23 @@
     ledger.fail(key(2));
     ledger.accept(key(3), "h", Time(1001));
     const Time sealedAt(31'000);
-    const Time came(500'000); // Another node's clock.
+    const Time came(500'000); // On another node's clock.
     InheritedLedger first(sealOf(ledger, sealedAt), came);
     InheritedLedger second(first.handOver(came + Duration(1000)), Time(7));
     const Time later = Time(7) + Duration(1000);
     cr_assert(std::get<Replay>(second.accept(key(1), "h", later)).answer.body == "receipt 1");
     cr_assert(isRefused(second.accept(key(1), "other", later), ErrorKind::KeyMismatch));
     cr_assert(isRefused(second.accept(key(2), "h", later), ErrorKind::OutcomeUnknown));
-    cr_assert(isRefused(second.accept(key(3), "h", later), ErrorKind::KeyRequired), "never sent: not run, and a fresh key is offered");
+    cr_assert(isRefused(second.accept(key(3), "h", later), ErrorKind::KeyRequired),
+        "a request that was never sent has not run, and the caller gets a new key");
     cr_assert(isRefused(second.accept(key(1), "h", Time(7) + Duration(29'000)), ErrorKind::KeyExpired));
     cr_assert_not(second.isOver(later));
     cr_assert(second.isOver(Time(7) + Lifetime));
 }
 
-Test(ledger, memoryIsBoundedByBytesBeforeARequestRuns)
+Test(ledger, memoryIsReservedBeforeARequestRuns)
 {
-    // Many one-time requests with large answers come at once. The node must refuse some as not run, not end for lack of memory.
+    // Many one-time requests with large answers arrive at once. The node must refuse some as not run instead of running out of memory.
     constexpr std::size_t AnswerLimit = 1000;
     Ledger ledger(Lifetime, 1000, { 10'000, AnswerLimit });
     std::uint64_t accepted = 0;
