--- a/coordination/ownership.cpp
+++ b/coordination/ownership.cpp
@@ -12,7 +12,7 @@
 {
 
 constexpr std::uint64_t NumberBits = 16;
-// Two nodes that drew the same number on two sides of a partition still have to draw the same step to make equal tokens.
+// Two nodes that have drawn the same number on the two sides of a partition make equal tokens only if they also draw the same step.
 constexpr std::uint64_t MaxCounterStep = 1U << 16U;
 
 } // namespace
@@ -26,17 +26,17 @@
     Time ownedSince = Time::never();
     Time missingSince;
     FencingToken token;
-    /** When the upstream was first known to hold the token as its highest, without a break since. */
+    /** Since when the token has been known without interruption to be the highest at the upstream. */
     Time claimedAt = Time::never();
-    /** Earliest moment that the newest report speaks of in which the token was the highest. */
+    /** Lower bound of the last time at which the upstream is known to have had the token as its highest; the lease starts here. */
     Time confirmedAt;
-    /** The newest report; empty inUse when none came. */
+    /** The newest report; empty if hasReport is false. */
     OwnershipReport report;
     bool hasReport = false;
     bool isPolling = false;
     bool isClaiming = false;
     Time claimSentAt;
-    /** Nothing was ever ordered there since the upstream started, so no former owner can act. */
+    /** No node has given orders to the upstream since it started, so there is no former owner whose orders could arrive. */
     bool isUntouched = false;
     Time nextPoll;
     std::optional<EvictionRule> rule;
@@ -60,7 +60,7 @@
     bool isInUse(const AdapterKey &adapter) const;
 };
 
-// A node that was paused finds its own view of a moment ago here; the gap tells.
+// Checks the age because a node that was paused still has its view from before the pause.
 bool UpstreamOwnership::Private::isViewCurrent(Time now) const
 {
     return view.isOwner && view.isFresh && now - viewAt < limits.viewMaxAge;
@@ -109,7 +109,7 @@
         relinquish();
         return;
     }
-    // Not giving up on a stale view: when nobody else has claimed the upstream meanwhile, the next report says so.
+    // A stale view does not end the ownership: the next report shows whether another node has claimed the upstream meanwhile.
     if (event.isFresh && ownedSince == Time::never()) {
         ownedSince = now;
         nextPoll = now;
@@ -143,11 +143,12 @@
     if (isFirst) {
         isUntouched = isUnclaimed && event.loaded.empty() && event.inUse.empty();
     } else if (!isUnclaimed && highest != token) {
-        // Somebody else ordered there since, and may do so again.
+        // Another node has given orders since then and may do so again.
         isUntouched = false;
     }
     if (!event.highest.has_value()) {
-        // Nobody can tell who else orders there. The token is still sent, and doubt lasts while a node is missing.
+        // Without tokens in the report other owners cannot be detected. The token is still sent, and the owner counts as uncertain
+        // while a node is missing.
         if (isFirst) {
             claimAbove(highest, now);
         }
@@ -159,10 +160,10 @@
         confirmedAt = std::max(confirmedAt, event.takenAt);
         isClaiming = false;
     } else if (highest < token && !isFirst && (isClaiming || (claimedAt != Time::never() && event.takenAt < claimedAt))) {
-        return; // The claim is on its way, or the report may speak of the time before it.
+        return; // The claim is in flight, or the report may describe a time before it.
     } else if (isViewCurrent(now)) {
-        // Somebody else claimed it, or the upstream restarted and forgot. Both sides of a partition may claim in turn; each then serves
-        // what is loaded, and neither holds its claim for long enough to evict.
+        // Another node claimed the upstream, or the upstream restarted and lost the token. Both sides of a partition may claim in turn:
+        // each then serves the loaded adapters, and neither keeps its claim for long enough to evict.
         claimAbove(std::max(token, highest), now);
     } else {
         claimedAt = Time::never();
@@ -241,11 +242,11 @@
 
 bool UpstreamOwnership::mayDispatch(Time now) const
 {
-    // A stale view may not know yet that the upstream is leaving.
+    // A stale view may not yet contain that the upstream is leaving.
     if (!d->isViewCurrent(now) || !d->isLeaseValid(now)) {
         return false;
     }
-    // Where old tokens are not refused, a former owner may still evict until the settle time is over.
+    // If the upstream does not refuse old tokens, a former owner may still evict until the settle time is over.
     return d->limits.checksFencing || d->isUntouched || d->isSettled(now);
 }
 
--- a/coordination/ownership.h
+++ b/coordination/ownership.h
@@ -15,12 +15,13 @@
 
 // Events.
 
-/** What the fleet's view says of this upstream now; at least ten times a second, else it counts as stale. */
+/** The ownership of the upstream according to the fleet view. Expected ten times a second; stale after OwnershipLimits::viewMaxAge. */
 struct OwnerView
 {
+    /** This node owns the upstream. */
     bool isOwner = false;
     bool isFresh = false;
-    /** A node that the VM list names does not live in the view: it may be dead, or on the other side of a partition. */
+    /** A node of the VM list is not alive in the view: it may be dead or on the other side of a partition. */
     bool isNodeMissing = false;
     /** Low bits of this node's fencing tokens. */
     std::uint16_t number = 0;
@@ -28,23 +29,24 @@
 /** The upstream's answer to RequestReport. */
 struct OwnershipReport
 {
-    /** The earliest moment that the report may speak of, on this node's clock: when it was asked for, less the upstream's lag. */
+    /** The earliest time that the report may describe, on this node's clock: the time of the poll minus the upstream's report lag. */
     Time takenAt;
-    /** The highest fencing token that the upstream has seen; empty when it does not tell. */
+    /** The highest fencing token that the upstream has seen; empty if it does not report tokens. */
     std::optional<FencingToken> highest;
     std::vector<AdapterKey> loaded;
-    /** Adapters that some request runs or waits on there. */
+    /** Adapters that requests at the upstream run on or wait for. */
     std::vector<AdapterKey> inUse;
 };
+/** The poll of the upstream failed. */
 struct ReportFailed
 {
 };
-/** The upstream took the claim. */
+/** The upstream accepted the claim. */
 struct ClaimAccepted
 {
     FencingToken token;
 };
-/** The claim had no answer; the upstream may or may not have seen it. */
+/** The claim was not answered; the upstream may or may not have received it. */
 struct ClaimFailed
 {
 };
@@ -56,16 +58,16 @@
 
 // Actions.
 
-/** Ask the upstream for a report; answered by OwnershipReport or ReportFailed. */
+/** Poll the upstream for a report; answered by OwnershipReport or ReportFailed. */
 struct RequestReport
 {
 };
-/** Give the upstream an order without effect under @p token, so that it knows it. */
+/** Send the upstream an order without effect that carries @p token, so that it learns the token. */
 struct Claim
 {
     FencingToken token;
 };
-/** What the scheduler must keep to from now on. */
+/** The scheduler must follow this rule from now on. */
 struct EvictionRuleChanged
 {
     EvictionRule rule;
@@ -74,20 +76,20 @@
 
 struct OwnershipLimits
 {
-    /** Between two reports. */
+    /** Time between two polls for reports. */
     Duration pollInterval = Duration::seconds(1);
-    /** A report under which this node's token was the highest allows it to act for this long. */
+    /** How long this node may act as the owner after a report that shows its token as the highest. */
     Duration lease = Duration::seconds(4);
-    /** From the check before sending to the arrival at the upstream, at most: an upstream closes a connection that stays silent longer. */
+    /** Maximum time from the check before sending until arrival at the upstream, which closes connections that are idle for longer. */
     Duration dispatchDelay = Duration::seconds(5);
-    /** Clocks of two nodes run apart by less than this over a takeover. */
+    /** Upper bound of the drift between the clocks of two nodes during a takeover. */
     Duration clockMargin = Duration::seconds(1);
-    /** An OwnerView is good for this long. */
+    /** An OwnerView is stale after this time. */
     Duration viewMaxAge = Duration::seconds(1);
-    /** The upstream refuses orders under a lower token than it has seen. */
+    /** Whether the upstream refuses orders with a lower token than the highest it has seen. */
     bool checksFencing = false;
 
-    /** How long a former owner may still act after the upstream has seen a newer owner's token. */
+    /** How long orders of a former owner may still arrive after the upstream has seen the token of a newer owner. */
     Duration settleTime() const
     {
         return lease + dispatchDelay + clockMargin;
@@ -95,13 +97,13 @@
 };
 
 /**
- * Whether this node may act as the owner of one upstream, and under which fencing token.
+ * Decides whether this node may act as the owner of one upstream, and with which fencing token.
  *
- * Load pattern: views differ for a while after a failure, in a partition, or when a process wakes late, so two nodes take themselves for
- * the owner. Without this one of them evicts an adapter that the other's request runs on, which shows as an answer that breaks off. A node
+ * After a failure, in a partition or after a process was paused, the views of nodes differ for a while and two nodes consider themselves
+ * the owner. Without this protocol one of them evicts an adapter that a request of the other runs on, and the answer breaks off. A node
  * that takes over reads the upstream's highest token, claims a higher one, and acts only while a recent report shows its own token as the
- * highest. A former owner thus stops within settleTime(), and only after that does the new one evict; on an upstream that does not check
- * tokens it does not even dispatch before, since the former one might evict. In doubt it waits.
+ * highest. A former owner thus stops within settleTime(), and the new owner evicts only after that time. On an upstream that does not
+ * check tokens it does not dispatch before either, since the former owner might evict. If the owner is uncertain, the node waits.
  *
  * Not thread-safe.
  */
@@ -113,15 +115,15 @@
 
     std::vector<OwnershipAction> handle(const OwnershipEvent &event, Time now);
 
-    // Ask these at the moment of the deed, on the open connection right before the first byte leaves.
+    // Call these on the open connection, right before the first byte is sent.
 
     /** Whether a request may be sent to the upstream. */
     bool mayDispatch(Time now) const;
-    /** The token for a load; empty when it may not be ordered now. */
+    /** The token for a load order; empty if no load may be ordered now. */
     std::optional<FencingToken> loadToken(Time now) const;
-    /** The token for an eviction of @p adapter; empty when it may not be ordered now. */
+    /** The token for an order to evict @p adapter; empty if the eviction may not be ordered now. */
     std::optional<FencingToken> evictToken(const AdapterKey &adapter, Time now) const;
-    /** When this node took the upstream over without a break since; Time::never() when it does not own it. */
+    /** Since when this node has owned the upstream without interruption; Time::never() if it does not own it. */
     Time ownedSince() const;
 
 private:
--- a/coordination/rendezvous.cpp
+++ b/coordination/rendezvous.cpp
@@ -31,7 +31,7 @@
 
 double rendezvousScore(std::uint64_t hash, double weight)
 {
-    // The logarithmic form keeps shares proportional to weights and moves only what a changed weight must move.
+    // The logarithmic form makes shares proportional to weights, and a changed weight moves only the keys that it has to.
     constexpr double Steps = 9007199254740992.0; // 2^53
     const double unit = (static_cast<double>(hash >> 11) + 0.5) / Steps;
     return -weight / std::log(unit);
--- a/tests/coordination/testownership.cpp
+++ b/tests/coordination/testownership.cpp
@@ -16,10 +16,10 @@
     return { AdapterId(id), AdapterVersion("1") };
 }
 
-// One owner before an upstream that keeps the highest token it was shown and answers at once.
-struct Bench
+// An owner and an upstream that remembers the highest token it has received and answers at once.
+struct OwnershipFixture
 {
-    explicit Bench(bool checksFencing)
+    explicit OwnershipFixture(bool checksFencing)
         : ownership(limitsFor(checksFencing), 1)
     {
     }
@@ -38,15 +38,15 @@
     std::vector<AdapterKey> loaded;
     std::vector<AdapterKey> inUse;
     bool isReachable = true;
-    bool tellsToken = true;
+    bool reportsToken = true;
     int claims = 0;
 
     void handle(const OwnershipEvent &event)
     {
         for (const OwnershipAction &action : ownership.handle(event, now)) {
             if (std::holds_alternative<RequestReport>(action) && isReachable) {
-                const auto told = tellsToken ? std::optional(highest) : std::nullopt;
-                handle(OwnershipReport { now, told, loaded, inUse });
+                const auto reportedToken = reportsToken ? std::optional(highest) : std::nullopt;
+                handle(OwnershipReport { now, reportedToken, loaded, inUse });
             } else if (std::holds_alternative<RequestReport>(action)) {
                 handle(ReportFailed {});
             } else if (const auto *claim = std::get_if<Claim>(&action)) {
@@ -66,133 +66,133 @@
 
 } // namespace
 
-Test(ownership, aTakeoverGoesAboveTheHighestTokenAndEndsInTheOwnNumber)
+Test(ownership, aTakeoverClaimsAHigherTokenWithTheNodesNumber)
 {
-    Bench bench(true);
-    bench.highest = FencingToken((9ULL << 16U) | 3U);
-    bench.run(Duration(200));
-    const auto token = bench.ownership.loadToken(bench.now);
+    OwnershipFixture fixture(true);
+    fixture.highest = FencingToken((9ULL << 16U) | 3U);
+    fixture.run(Duration(200));
+    const auto token = fixture.ownership.loadToken(fixture.now);
     cr_assert(token.has_value());
     cr_assert_gt(token->value() >> 16U, 9);
     cr_assert_eq(token->value() & 0xffffU, OwnNumber);
-    cr_assert(bench.ownership.mayDispatch(bench.now));
+    cr_assert(fixture.ownership.mayDispatch(fixture.now));
 }
 
-Test(ownership, nothingIsEvictedUntilAFormerOwnerHasSurelyStopped)
+Test(ownership, nothingIsEvictedBeforeTheSettleTimeIsOver)
 {
-    // The former owner may still believe that it owns the upstream and send to it. An eviction then breaks its answer off midway.
-    Bench bench(true);
-    bench.highest = FencingToken(1U << 16U);
-    bench.run(Duration::seconds(9));
-    cr_assert_not(bench.ownership.evictToken(adapter("a"), bench.now).has_value());
-    bench.run(Duration::seconds(4));
-    cr_assert(bench.ownership.evictToken(adapter("a"), bench.now).has_value());
+    // The former owner may still consider itself the owner and send requests; an early eviction would break off their answers.
+    OwnershipFixture fixture(true);
+    fixture.highest = FencingToken(1U << 16U);
+    fixture.run(Duration::seconds(9));
+    cr_assert_not(fixture.ownership.evictToken(adapter("a"), fixture.now).has_value());
+    fixture.run(Duration::seconds(4));
+    cr_assert(fixture.ownership.evictToken(adapter("a"), fixture.now).has_value());
 }
 
-Test(ownership, whatTheReportShowsInUseIsNotEvicted)
+Test(ownership, anAdapterReportedInUseIsNotEvicted)
 {
-    Bench bench(true);
-    bench.inUse = { adapter("a") };
-    bench.run(Duration::seconds(20));
-    cr_assert_not(bench.ownership.evictToken(adapter("a"), bench.now).has_value());
-    cr_assert(bench.ownership.evictToken(adapter("b"), bench.now).has_value());
+    OwnershipFixture fixture(true);
+    fixture.inUse = { adapter("a") };
+    fixture.run(Duration::seconds(20));
+    cr_assert_not(fixture.ownership.evictToken(adapter("a"), fixture.now).has_value());
+    cr_assert(fixture.ownership.evictToken(adapter("b"), fixture.now).has_value());
 }
 
-Test(ownership, withoutFencingANewOwnerDoesNotEvenDispatchBefore)
+Test(ownership, withoutFencingANewOwnerDoesNotDispatchBeforeTheSettleTimeIsOver)
 {
-    // This upstream obeys anybody, so the former owner's last eviction may still come and hit what the new owner sends.
-    Bench bench(false);
-    bench.highest = FencingToken(1U << 16U);
-    bench.run(Duration::seconds(9));
-    cr_assert_not(bench.ownership.mayDispatch(bench.now));
-    cr_assert(bench.ownership.loadToken(bench.now).has_value());
-    bench.run(Duration::seconds(3));
-    cr_assert(bench.ownership.mayDispatch(bench.now));
+    // This upstream does not check tokens, so the last eviction of the former owner may still arrive and hit requests of the new owner.
+    OwnershipFixture fixture(false);
+    fixture.highest = FencingToken(1U << 16U);
+    fixture.run(Duration::seconds(9));
+    cr_assert_not(fixture.ownership.mayDispatch(fixture.now));
+    cr_assert(fixture.ownership.loadToken(fixture.now).has_value());
+    fixture.run(Duration::seconds(3));
+    cr_assert(fixture.ownership.mayDispatch(fixture.now));
 }
 
-Test(ownership, anUpstreamThatNobodyOrderedYetIsUsedAtOnce)
+Test(ownership, anUpstreamWithoutFormerOwnerIsUsedAtOnce)
 {
-    Bench bench(false);
-    bench.run(Duration(200));
-    cr_assert(bench.ownership.mayDispatch(bench.now));
+    OwnershipFixture fixture(false);
+    fixture.run(Duration(200));
+    cr_assert(fixture.ownership.mayDispatch(fixture.now));
 }
 
-Test(ownership, anUpstreamThatAnotherNodeClaimedIsNoLongerUntouched)
-{
-    // Two nodes find a new engine at the same time. The other one works there for a while before this one's claim; its evictions may
-    // still come. Seed 1390 of the exploration showed this one dispatching at once.
-    Bench bench(false);
-    bench.run(Duration(200));
-    bench.view.isFresh = false;
-    bench.highest = FencingToken(1ULL << 40U);
-    bench.run(Duration::seconds(2));
-    bench.view.isFresh = true;
-    bench.run(Duration::seconds(5));
-    cr_assert_not(bench.ownership.mayDispatch(bench.now));
-    bench.run(Duration::seconds(10));
-    cr_assert(bench.ownership.mayDispatch(bench.now));
+Test(ownership, anUpstreamClaimedByAnotherNodeIsNotUsedAtOnce)
+{
+    // Two nodes find a new engine at the same time. The other node uses it for a while before this node's claim, so its evictions may still
+    // arrive. Guards against a dispatch before the settle time, as found with seed 1390 of the exploration.
+    OwnershipFixture fixture(false);
+    fixture.run(Duration(200));
+    fixture.view.isFresh = false;
+    fixture.highest = FencingToken(1ULL << 40U);
+    fixture.run(Duration::seconds(2));
+    fixture.view.isFresh = true;
+    fixture.run(Duration::seconds(5));
+    cr_assert_not(fixture.ownership.mayDispatch(fixture.now));
+    fixture.run(Duration::seconds(10));
+    cr_assert(fixture.ownership.mayDispatch(fixture.now));
 }
 
-Test(ownership, anOwnerThatWakesLateGivesNoOrders)
+Test(ownership, anOwnerThatWasPausedGivesNoOrders)
 {
-    // The process stood still for a minute. Its own memory says that it owns the upstream; the other nodes have long gone on.
-    Bench bench(true);
-    bench.run(Duration::seconds(20));
-    bench.now = bench.now + Duration::seconds(60);
-    cr_assert_not(bench.ownership.loadToken(bench.now).has_value());
-    cr_assert_not(bench.ownership.evictToken(adapter("a"), bench.now).has_value());
-    cr_assert_not(bench.ownership.mayDispatch(bench.now));
+    // The process was paused for a minute. Its state still says that it owns the upstream, but another node may have taken over.
+    OwnershipFixture fixture(true);
+    fixture.run(Duration::seconds(20));
+    fixture.now = fixture.now + Duration::seconds(60);
+    cr_assert_not(fixture.ownership.loadToken(fixture.now).has_value());
+    cr_assert_not(fixture.ownership.evictToken(adapter("a"), fixture.now).has_value());
+    cr_assert_not(fixture.ownership.mayDispatch(fixture.now));
 }
 
-Test(ownership, aFormerOwnerStopsWhenTheReportShowsAHigherToken)
+Test(ownership, aFormerOwnerStopsAfterAReportWithAHigherToken)
 {
-    // A partition: the other side took the upstream over, and here nobody answers, so the view is not fresh.
-    Bench bench(true);
-    bench.run(Duration::seconds(20));
-    bench.view.isFresh = false;
-    bench.highest = FencingToken(UINT64_MAX - 5);
-    bench.run(Duration::seconds(2));
-    cr_assert_not(bench.ownership.mayDispatch(bench.now));
-    cr_assert_eq(bench.claims, 1);
+    // In a partition the other side takes over the upstream. No other node answers on this side, so the view is not fresh.
+    OwnershipFixture fixture(true);
+    fixture.run(Duration::seconds(20));
+    fixture.view.isFresh = false;
+    fixture.highest = FencingToken(UINT64_MAX - 5);
+    fixture.run(Duration::seconds(2));
+    cr_assert_not(fixture.ownership.mayDispatch(fixture.now));
+    cr_assert_eq(fixture.claims, 1);
 }
 
-Test(ownership, aFormerOwnerThatHearsNothingStopsWithinTheLease)
+Test(ownership, anOwnerWithoutReportsStopsWithinTheLease)
 {
-    Bench bench(true);
-    bench.run(Duration::seconds(20));
-    bench.isReachable = false;
-    bench.run(Duration::seconds(5));
-    cr_assert_not(bench.ownership.mayDispatch(bench.now));
+    OwnershipFixture fixture(true);
+    fixture.run(Duration::seconds(20));
+    fixture.isReachable = false;
+    fixture.run(Duration::seconds(5));
+    cr_assert_not(fixture.ownership.mayDispatch(fixture.now));
 }
 
-Test(ownership, twoSidesThatClaimInTurnServeButNeverEvict)
+Test(ownership, ownersThatClaimInTurnDispatchButDoNotEvict)
 {
-    // Both sides of a partition reach the upstream and each takes itself for the owner.
-    Bench bench(true);
+    // Both sides of a partition reach the upstream and each considers itself the owner.
+    OwnershipFixture fixture(true);
     for (int i = 0; i < 20; ++i) {
-        bench.highest = FencingToken(bench.highest.value() + (1ULL << 40U));
-        bench.run(Duration::seconds(2));
-        cr_assert(bench.ownership.mayDispatch(bench.now));
-        cr_assert_not(bench.ownership.evictToken(adapter("a"), bench.now).has_value());
+        fixture.highest = FencingToken(fixture.highest.value() + (1ULL << 40U));
+        fixture.run(Duration::seconds(2));
+        cr_assert(fixture.ownership.mayDispatch(fixture.now));
+        cr_assert_not(fixture.ownership.evictToken(adapter("a"), fixture.now).has_value());
     }
 }
 
-Test(ownership, whereNoTokenIsToldDoubtLastsWhileANodeIsMissing)
+Test(ownership, withoutReportedTokensNothingIsEvictedWhileANodeIsMissing)
 {
-    Bench bench(false);
-    bench.tellsToken = false;
-    bench.view.isNodeMissing = true;
-    bench.run(Duration::seconds(60));
-    cr_assert_not(bench.ownership.evictToken(adapter("a"), bench.now).has_value());
-    bench.view.isNodeMissing = false;
-    bench.run(Duration::seconds(12));
-    cr_assert(bench.ownership.evictToken(adapter("a"), bench.now).has_value());
+    OwnershipFixture fixture(false);
+    fixture.reportsToken = false;
+    fixture.view.isNodeMissing = true;
+    fixture.run(Duration::seconds(60));
+    cr_assert_not(fixture.ownership.evictToken(adapter("a"), fixture.now).has_value());
+    fixture.view.isNodeMissing = false;
+    fixture.run(Duration::seconds(12));
+    cr_assert(fixture.ownership.evictToken(adapter("a"), fixture.now).has_value());
 }
 
-Test(ownership, aClaimWithoutAnswerIsMadeAgain)
+Test(ownership, aClaimWithoutAnswerIsRepeated)
 {
-    // The claim is lost on its way. A node that waited for its answer for ever would leave the engine without an owner.
-    UpstreamOwnership ownership(Bench::limitsFor(true), 1);
+    // Guards against an engine without an owner because a node waits forever for the answer to a claim that was lost in flight.
+    UpstreamOwnership ownership(OwnershipFixture::limitsFor(true), 1);
     ownership.handle(OwnerView { true, true, false, OwnNumber }, Time(10'000));
     ownership.handle(OwnershipReport { Time(10'000), FencingToken(5), {}, {} }, Time(10'001));
     ownership.handle(ClaimFailed {}, Time(10'100));
@@ -201,12 +201,12 @@
     cr_assert(std::any_of(actions.begin(), actions.end(), [](const auto &action) { return std::holds_alternative<Claim>(action); }));
 }
 
-Test(ownership, aLostOwnershipIsLostAtOnce)
+Test(ownership, aNodeThatIsNoLongerOwnerStopsAtOnce)
 {
-    Bench bench(true);
-    bench.run(Duration::seconds(20));
-    bench.view.isOwner = false;
-    bench.run(Duration(100));
-    cr_assert_not(bench.ownership.mayDispatch(bench.now));
-    cr_assert(bench.ownership.ownedSince() == Time::never());
+    OwnershipFixture fixture(true);
+    fixture.run(Duration::seconds(20));
+    fixture.view.isOwner = false;
+    fixture.run(Duration(100));
+    cr_assert_not(fixture.ownership.mayDispatch(fixture.now));
+    cr_assert(fixture.ownership.ownedSince() == Time::never());
 }
