--- a/coordination/upstreamchoice.cpp
+++ b/coordination/upstreamchoice.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-// A share below this counts as this one, so that an ejected upstream still has a finite cost when all are ejected.
+// Lower bound of the share, so that an ejected upstream has a finite cost and can be chosen if all are ejected.
 constexpr double MinShare = 0.01;
 
 template<typename CostOf>
@@ -26,7 +26,7 @@
             continue;
         }
         ties = cost < bestCost ? 1 : ties + 1;
-        // Each of the equals is kept with the same chance.
+        // Reservoir sampling: each of the options with equal cost is chosen with the same probability.
         if (ties == 1 || std::uniform_int_distribution<int>(1, ties)(random) == 1) {
             best = &option;
             bestCost = cost;
--- a/coordination/upstreamchoice.h
+++ b/coordination/upstreamchoice.h
@@ -12,53 +12,61 @@
 namespace ApricotStep
 {
 
-// Load pattern: many nodes choose at once among a few upstreams, each on figures up to a quarter second old.
-// Without weighing what all nodes have sent: the fastest upstream of one look gets the requests of all nodes, then the next one does; first
-// tokens swing between nothing and seconds. With the upstream that is least loaded for the fleet, and chance among equals, they spread.
-// Grounds for the figures: an engine's prompts are read one after the other, so what waits to be read decides the first token; each running
-// request adds its part to every step. A plain service's upstream in another zone costs a millisecond or two and bytes between zones, less
-// than one request ahead in its queue does.
+// Many nodes choose among a few upstreams at the same time, with load data that is up to 250 ms old.
+// If a node did not take the load of all nodes into account, the upstream that is fastest at the moment would get the requests of all
+// nodes, then the next one, and the time to first token would swing between nothing and seconds. The requests spread if each goes to the
+// upstream with the least load from all nodes, with a random choice among equals.
+// An engine processes prompts one after the other, so the queued prompt tokens determine the time to first token; each running request adds
+// to the time of every step. An upstream of a plain service in another zone costs a millisecond or two and traffic between zones, which is
+// less than the cost of one request ahead in its queue.
 
-/** An upstream that could take a request. */
+/** An upstream that could run a request. */
 struct UpstreamOption
 {
     const UpstreamRecord *record = nullptr;
     FleetLoad load;
-    /** What outliers leave it of its share: 0 ejected, 1 well. */
+    /** The part of its share that outlier detection allows it: 0 if ejected, 1 if healthy. */
     double share = 1;
-    /** In this node's availability zone. */
+    /** Whether it is in this node's availability zone. */
     bool isSameZone = false;
-    /** Tokens of the prompt that it has probably read before and keeps. */
+    /** Prompt tokens that it has probably processed before and still caches. */
     double cachedTokens = 0;
 };
 
 struct ChoiceParameters
 {
-    /** Tokens of prompts that an engine reads in a millisecond. */
+    /** Prompt tokens that an engine processes per millisecond. */
     double promptTokensPerMs = 38;
-    /** What one running request adds to the first token of another, ms. */
+    /** Time in ms that one running request adds to the time to first token of another. */
     double runningCostMs = 4;
-    /** A request in an upstream of another zone costs as much as this part of a place more. */
+    /** Extra cost of an upstream in another zone, as a part of the cost of one request per slot. */
     double otherZoneCost = 0.3;
 };
 
 /**
- * Takes @p sharedTokens of a prompt that begins with @p sharedPrefix as kept by one of @p options, the same one at all nodes.
+ * Counts @p sharedTokens of a prompt that begins with @p sharedPrefix as cached by one of @p options, the same one on all nodes.
  *
- * Load pattern: an adapter has copies at several engines, and its requests share long beginnings. Sent to the least loaded copy each time,
- * every engine reads every beginning: with 140 engines 23.7 of 96.8 million tokens were read though another copy kept them. The nodes agree
- * on an engine for each beginning without a message; it is left where its queue costs more than the reading.
+ * An adapter has copies at several engines, and its requests share long prefixes. If each request went to the least loaded copy, every
+ * engine would process every prefix: with 140 engines, 23.7 of 96.8 million tokens were processed although another copy had them cached.
+ * The nodes agree on an engine for each prefix without messages. A request goes elsewhere if the queue there costs more than processing
+ * the prefix again.
  */
 void creditSharedPrefix(std::vector<UpstreamOption> &options, std::string_view sharedPrefix, std::uint32_t sharedTokens);
 
-/** How long a prompt of @p promptTokens would wait for its first token at @p option. */
+/** The expected time to first token of a prompt of @p promptTokens at @p option. */
 Duration expectedTimeToFirstToken(const UpstreamOption &option, std::uint32_t promptTokens, const ChoiceParameters &parameters);
 
-/** The engine with the earliest first token, by chance among equals; null when there is none. Ejected ones only if all are. */
+/**
+ * The engine with the shortest expected time to first token, a random one among equals; null if there are no options. An ejected engine
+ * has a much higher cost, so that it is normally chosen only if all are ejected.
+ */
 const UpstreamOption *chooseEngine(
     const std::vector<UpstreamOption> &options, std::uint32_t promptTokens, const ChoiceParameters &parameters, std::mt19937_64 &random);
 
-/** The upstream of a plain service with the most room, by chance among equals; null when there is none. Ejected ones only if all are. */
+/**
+ * The upstream of a plain service with the lowest load per slot, a random one among equals; null if there are no options. Ejected
+ * upstreams are treated as in chooseEngine().
+ */
 const UpstreamOption *chooseService(
     const std::vector<UpstreamOption> &options, const ChoiceParameters &parameters, std::mt19937_64 &random);
 
--- a/coordination/upstreamdirectory.cpp
+++ b/coordination/upstreamdirectory.cpp
@@ -29,7 +29,7 @@
     }
     const bool isNewStart = entry.record.startedAt != record.startedAt;
     const bool hasLeft = !entry.record.isLeaving && record.isLeaving;
-    // Leaving is for good within one start: an older account of the same start must not bring it back.
+    // Leaving is final until the upstream restarts: an older record of the same start must not undo it.
     const bool wasLeaving = entry.record.isLeaving && !isNewStart;
     entry.record = record;
     entry.record.isLeaving = record.isLeaving || wasLeaving;
@@ -37,7 +37,7 @@
         return { UpstreamStarted { entry.record } };
     }
     if (hasLeft) {
-        return { UpstreamLeft { record.id, "it announced that it leaves" } };
+        return { UpstreamLeft { record.id, "it announced that it is leaving" } };
     }
     return { UpstreamUpdated { entry.record } };
 }
@@ -69,7 +69,7 @@
             ++at;
             continue;
         }
-        changes.emplace_back(UpstreamLeft { at->first, "it did not come back after the store did" });
+        changes.emplace_back(UpstreamLeft { at->first, "its entry did not come back after the outage of the store" });
         at = m_entries.erase(at);
     }
     return changes;
--- a/coordination/upstreamdirectory.h
+++ b/coordination/upstreamdirectory.h
@@ -13,61 +13,61 @@
 namespace ApricotStep
 {
 
-// Load pattern: upstreams start, leave, crash and come back under the same name, while the store that lists them is away now and then.
-// Without the grace after an outage: the store forgets entries of upstreams that could not renew them; a node that takes this for their
-// leaving refuses all requests of a service whose upstreams all live. Without it the other way round: an upstream that is truly gone gets
-// work for as long as nobody looks. And the grace ends with a reading, not with the clock: a node that last read the store before an entry
-// came back would drop a living upstream. Grounds for the figure: the store's operators say that entries are back within two seconds of
-// its return; what is missing after that is gone.
+// Upstreams start, leave, crash and return under the same name, and the store that lists them has outages.
+// During an outage the entries of upstreams that cannot renew them expire. Without a grace period after the outage, a node would treat
+// these upstreams as gone and refuse all requests of a service although all its upstreams are alive. Without an end of the grace period,
+// an upstream that is really gone would keep getting work. The grace period ends with a read of the store and not with the clock: a node
+// whose last read was before an entry came back would otherwise remove an upstream that is alive.
+// The operators of the store state that entries are back within 2 s after it returns; an upstream that is missing after that is gone.
 
 struct UpstreamDirectoryLimits
 {
-    /** An entry that was lost during an outage counts for so long after the store's return. */
+    /** How long an entry that was lost during an outage remains valid after the store returns. */
     Duration graceAfterOutage { 2000 };
 };
 
-/** An upstream is new, or another start of a known one. */
+/** An upstream is new, or a known one has restarted. */
 struct UpstreamStarted
 {
     UpstreamRecord record;
 };
-/** Its account of itself changed. */
+/** The record of an upstream changed. */
 struct UpstreamUpdated
 {
     UpstreamRecord record;
 };
-/** It gets no new work from now on. */
+/** An upstream gets no new work from now on. */
 struct UpstreamLeft
 {
     UpstreamId id;
-    /** Why, for the log. */
+    /** The reason, for the log. */
     std::string reason;
 };
 using UpstreamChange = std::variant<UpstreamStarted, UpstreamUpdated, UpstreamLeft>;
 
-/** Which upstreams there are, and which of them may get work. Not thread-safe. */
+/** The known upstreams, and which of them may get work. Not thread-safe. */
 class UpstreamDirectory
 {
 public:
     explicit UpstreamDirectory(UpstreamDirectoryLimits limits);
 
-    /** The store lists this. */
+    /** The store lists @p record. */
     std::vector<UpstreamChange> put(const UpstreamRecord &record, Time now);
-    /** The store lists it no longer, or lists something unreadable in its place. @p reason for the log. */
+    /** The store no longer lists the upstream, or its entry is unreadable. @p reason is for the log. */
     std::vector<UpstreamChange> remove(const UpstreamId &id, const std::string &reason, Time now);
-    /** The store answers again after it did not; entries missing from now until the grace ends may come back. */
+    /** The store responds again after an outage; entries that go missing until the grace period ends may come back. */
     void onStoreRegained(Time now);
-    /** All that the store listed at @p knownUntil is known: what was missing then, and had its grace before, is gone. */
+    /** All entries of the store are known as of @p knownUntil: removes missing upstreams whose grace period was over by then. */
     std::vector<UpstreamChange> endGracePeriods(Time knownUntil);
-    /** When the grace of the last outage ends. */
+    /** The end of the grace period after the last outage. */
     Time gracePeriodEnd() const
     {
         return m_graceUntil;
     }
 
-    /** Those of @p service that may get work, in the order of their ids. */
+    /** The upstreams of @p service that may get work, sorted by id. */
     std::vector<const UpstreamRecord *> usable(const ServiceName &service) const;
-    /** Null when @p id is not listed, or may get no work. */
+    /** Null if @p id is not listed or may not get work. */
     const UpstreamRecord *usable(const UpstreamId &id) const;
     std::size_t size() const
     {
@@ -78,7 +78,7 @@
     struct Entry
     {
         UpstreamRecord record;
-        /** Missing from the store; gone if the store does not list it at this moment either. */
+        /** Set while the entry is missing from the store: it is removed if the store does not list it at this time either. */
         Time removeAt = Time::never();
     };
 
--- a/coordination/upstreamloadtracker.cpp
+++ b/coordination/upstreamloadtracker.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-// How often silent peers are looked for: a small part of the time for which they count.
+// Time between two checks for stale peers; short compared with UpstreamLoadTracker::PeerTimeout.
 constexpr Duration SweepInterval { 100 };
 
 } // namespace
@@ -60,11 +60,11 @@
     for (const UpstreamLoad &load : loads) {
         const auto at = m_peerTotals.find(load.upstream);
         if (at == m_peerTotals.end()) {
-            continue; // Named twice with nothing running.
+            continue; // Removed already by another entry that names this upstream with no load.
         }
         at->second.running -= load.running;
         at->second.pendingTokens -= load.pendingTokens;
-        // Whole numbers below 2^53 add and subtract exactly, so an empty sum is an exact zero.
+        // Whole numbers below 2^53 are added and subtracted exactly, so the sum of no loads is exactly zero.
         if (at->second.running == 0 && at->second.pendingTokens == 0) {
             m_peerTotals.erase(at);
         }
--- a/coordination/upstreamloadtracker.h
+++ b/coordination/upstreamloadtracker.h
@@ -12,7 +12,7 @@
 namespace ApricotStep
 {
 
-/** What the whole fleet has at one upstream, as this node knows it. */
+/** The load of all nodes together at one upstream, as known by this node. */
 struct FleetLoad
 {
     double running = 0;
@@ -20,26 +20,28 @@
 };
 
 /**
- * Counts what this node and the others have sent to each upstream. Not thread-safe.
+ * Tracks the load that this node and its peers have sent to each upstream. Not thread-safe.
  *
- * A node that counts only its own requests sees a twelfth of an engine's load and sends more to the one that all others chose as well.
- * Sums are kept as messages come: adding up all nodes at each look took a holder of orders more time than it had, with 134 nodes.
+ * With twelve nodes, a node that counted only its own requests would see a twelfth of an engine's load and choose the engine that all
+ * other nodes choose as well. Sums are updated with each message: with 134 nodes, adding up the loads of all nodes for each decision took
+ * more time than the lease holder had.
  */
 class UpstreamLoadTracker
 {
 public:
-    /** A node not heard of for this long has nothing running any more, or nobody knows: six messages missed. */
+    /** The load of a peer is removed after this time without a message from it: six missed messages. */
     static constexpr Duration PeerTimeout { 1500 };
 
     void onSent(const UpstreamId &upstream, std::uint32_t promptTokens);
-    /** The prompt has been read. */
+    /** The prompt has been processed. */
     void onFirstToken(const UpstreamId &upstream, std::uint32_t promptTokens);
-    /** @p unreadTokens: the prompt's tokens if it had not been read yet, else 0. */
+    /** @p unreadTokens: the prompt's tokens if it was not processed yet, otherwise 0. */
     void onEnded(const UpstreamId &upstream, std::uint32_t unreadTokens);
+    /** Replaces the load that @p peer reported before. */
     void onPeerLoads(const NodeId &peer, const std::vector<UpstreamLoad> &loads, Time now);
 
     FleetLoad load(const UpstreamId &upstream, Time now);
-    /** This node's own part, for the others. */
+    /** The load that this node has sent, for the messages to its peers. */
     std::vector<UpstreamLoad> own() const;
 
 private:
@@ -51,12 +53,12 @@
 
     void add(const std::vector<UpstreamLoad> &loads);
     void subtract(const std::vector<UpstreamLoad> &loads);
-    /** Takes out peers that fell silent. */
+    /** Removes the load of peers that have sent no message for PeerTimeout. */
     void removeStalePeers(Time now);
 
     absl::btree_map<UpstreamId, UpstreamLoad> m_own;
     absl::flat_hash_map<NodeId, Peer> m_peers;
-    /** What all peers together have at each upstream. */
+    /** The load of all peers together at each upstream. */
     absl::flat_hash_map<UpstreamId, FleetLoad> m_peerTotals;
     Time m_sweptAt;
 };
--- a/tests/coordination/testupstreamdirectory.cpp
+++ b/tests/coordination/testupstreamdirectory.cpp
@@ -32,8 +32,9 @@
 
 } // namespace
 
-// An upstream announces that it leaves; an older account of the same start arrives afterwards, as from a slow read. It stays left.
-Test(upstreamdirectory, leavingIsForGoodWithinOneStart)
+// An upstream announces that it leaves, and an older record of the same start arrives afterwards, as from a slow read. It must not get work
+// again before it restarts.
+Test(upstreamdirectory, leavingIsFinalUntilTheNextStart)
 {
     UpstreamDirectory directory({});
     directory.put(record("u"), Start);
@@ -46,9 +47,9 @@
     cr_assert_eq(usableCount(directory), 1);
 }
 
-// The store was away, and the entries of upstreams that could not renew them lapsed meanwhile. All of a service's upstreams live; without
-// the grace its callers would be refused until the entries are back.
-Test(upstreamdirectory, entriesLostInAnOutageCountForAWhile)
+// During an outage of the store the entries of all upstreams of a service expire although the upstreams are alive. Without the grace period
+// callers would be refused until the entries are back.
+Test(upstreamdirectory, entriesLostInAnOutageHaveAGracePeriod)
 {
     UpstreamDirectory directory({});
     directory.put(record("u"), Start);
@@ -63,8 +64,8 @@
     cr_assert_not_null(directory.usable(UpstreamId("u")));
 }
 
-// Guards against dropping a living upstream because its entry came back after the node's last reading of the store.
-Test(upstreamdirectory, aGraceEndsWithAReadingAndNotWithTheClock)
+// Guards against the removal of an upstream that is alive but whose entry came back after the node's last read of the store.
+Test(upstreamdirectory, aGracePeriodEndsWithAReadOfTheStore)
 {
     UpstreamDirectory directory({});
     directory.put(record("back"), Start);
@@ -72,7 +73,7 @@
     directory.onStoreRegained(Start);
     directory.remove(UpstreamId("back"), "lapsed", Start + Duration(10));
     directory.remove(UpstreamId("gone"), "lapsed", Start + Duration(10));
-    // The node's readings: one before the entry is back, one after it.
+    // The node reads the store once before and once after the entry is back.
     directory.endGracePeriods(Start + Duration(1000));
     cr_assert_eq(usableCount(directory), 2);
     directory.put(record("back"), Start + Duration(2500));
@@ -81,7 +82,7 @@
     cr_assert_null(directory.usable(UpstreamId("gone")));
 }
 
-// While the store is well, an entry that goes means that the upstream gets no more work from that moment.
+// Without an outage of the store, an upstream gets no more work once its entry is removed.
 Test(upstreamdirectory, aRemovedUpstreamGetsNoWork)
 {
     UpstreamDirectory directory({});
@@ -91,83 +92,84 @@
     cr_assert_eq(usableCount(directory), 0);
 }
 
-// Rows of two holders overtake each other. The one with the greater token counts, and an adapter that an engine has just refused counts as
-// missing there until a later row.
-Test(enginerows, onlyALaterRowReplacesARow)
+// Engine residency reports of two lease holders can arrive out of order. The one with the higher token counts, and an adapter that an
+// engine has just refused counts as not loaded there until a newer report.
+Test(residencytable, onlyANewerReportReplacesAReport)
 {
     const AdapterRef adapter { BaseModelId("m"), AdapterId("a") };
     const AdapterCopy copy { adapter.model, adapter.adapter, AdapterVersion("1"), true };
-    ResidencyTable residencies;
-    cr_assert(residencies.put(EngineResidency { UpstreamId("u"), 1, FencingToken(5), 9, { copy } }));
-    cr_assert_not(residencies.put(EngineResidency { UpstreamId("u"), 1, FencingToken(4), 20, {} }));
-    cr_assert_not(residencies.put(EngineResidency { UpstreamId("u"), 1, FencingToken(5), 8, {} }));
-    cr_assert(residencies.copy(record("u"), adapter).has_value());
-    residencies.markMissing(UpstreamId("u"), adapter);
-    cr_assert_not(residencies.copy(record("u"), adapter).has_value());
-    residencies.put(EngineResidency { UpstreamId("u"), 1, FencingToken(5), 10, { copy } });
-    cr_assert(residencies.copy(record("u"), adapter).has_value());
-    cr_assert_not(residencies.copy(record("u", 2), adapter).has_value(), "a new start holds nothing of before");
+    ResidencyTable residency;
+    cr_assert(residency.put(EngineResidency { UpstreamId("u"), 1, FencingToken(5), 9, { copy } }));
+    cr_assert_not(residency.put(EngineResidency { UpstreamId("u"), 1, FencingToken(4), 20, {} }));
+    cr_assert_not(residency.put(EngineResidency { UpstreamId("u"), 1, FencingToken(5), 8, {} }));
+    cr_assert(residency.copy(record("u"), adapter).has_value());
+    residency.markMissing(UpstreamId("u"), adapter);
+    cr_assert_not(residency.copy(record("u"), adapter).has_value());
+    residency.put(EngineResidency { UpstreamId("u"), 1, FencingToken(5), 10, { copy } });
+    cr_assert(residency.copy(record("u"), adapter).has_value());
+    cr_assert_not(residency.copy(record("u", 2), adapter).has_value(), "a restarted engine holds no adapters from before");
 }
 
-// Guards against an engine that starts anew under another holder with a lower token, whose copies nobody would believe in.
-Test(enginerows, aRowOfALaterStartReplacesOneWithAHigherToken)
+// An engine restarts under another lease holder with a lower token. Guards against ignoring its residency report and so its copies.
+Test(residencytable, aReportOfALaterStartReplacesOneWithAHigherToken)
 {
     const AdapterRef adapter { BaseModelId("m"), AdapterId("a") };
     const AdapterCopy copy { adapter.model, adapter.adapter, AdapterVersion("1"), true };
-    ResidencyTable residencies;
-    residencies.put(EngineResidency { UpstreamId("u"), 1, FencingToken(9), 50, {} });
-    cr_assert(residencies.put(EngineResidency { UpstreamId("u"), 2, FencingToken(5), 1, { copy } }));
-    cr_assert(residencies.copy(record("u", 2), adapter).has_value());
-    cr_assert_not(residencies.put(EngineResidency { UpstreamId("u"), 1, FencingToken(9), 51, {} }));
+    ResidencyTable residency;
+    residency.put(EngineResidency { UpstreamId("u"), 1, FencingToken(9), 50, {} });
+    cr_assert(residency.put(EngineResidency { UpstreamId("u"), 2, FencingToken(5), 1, { copy } }));
+    cr_assert(residency.copy(record("u", 2), adapter).has_value());
+    cr_assert_not(residency.put(EngineResidency { UpstreamId("u"), 1, FencingToken(9), 51, {} }));
 }
 
-// Twelve nodes choose at once on the same figures. With what each has just sent counted, no engine gets more than its share twice over.
+// Twelve nodes choose at the same time with the same load data. Guards against overloading one of several equal engines because the
+// requests that were just sent are not counted.
 Test(upstreamchoice, requestsSpreadOverEqualEngines)
 {
     std::mt19937_64 random(1);
     std::vector<UpstreamRecord> records { record("a"), record("b"), record("c") };
-    UpstreamLoadTracker book;
+    UpstreamLoadTracker tracker;
     for (int i = 0; i < 30; ++i) {
         std::vector<UpstreamOption> options;
         for (const UpstreamRecord &entry : records) {
-            options.push_back(UpstreamOption { &entry, book.load(entry.id, Start), 1, false });
+            options.push_back(UpstreamOption { &entry, tracker.load(entry.id, Start), 1, false });
         }
-        book.onSent(chooseEngine(options, 1000, {}, random)->record->id, 1000);
+        tracker.onSent(chooseEngine(options, 1000, {}, random)->record->id, 1000);
     }
-    for (const UpstreamLoad &load : book.own()) {
+    for (const UpstreamLoad &load : tracker.own()) {
         cr_assert_eq(load.running, 10);
     }
 }
 
-// One engine has a long prompt to read, and another is ejected. Work goes to neither while a third is well, but it goes somewhere when all
+// One engine has a long prompt to process and another is ejected. Requests must go to a third, healthy engine, but to an ejected one if all
 // are ejected.
-Test(upstreamchoice, busyAndEjectedEnginesComeLast)
+Test(upstreamchoice, busyAndEjectedEnginesAreAvoided)
 {
     std::mt19937_64 random(1);
     const UpstreamRecord busy = record("busy");
     const UpstreamRecord ejected = record("ejected");
-    const UpstreamRecord well = record("well");
+    const UpstreamRecord healthy = record("well");
     const std::vector<UpstreamOption> options {
         { &busy, { 1, 39'000 }, 1, true },
         { &ejected, { 0, 0 }, 0, true },
-        { &well, { 3, 0 }, 1, false },
+        { &healthy, { 3, 0 }, 1, false },
     };
-    cr_assert_eq(chooseEngine(options, 800, {}, random)->record, &well);
+    cr_assert_eq(chooseEngine(options, 800, {}, random)->record, &healthy);
     const std::vector<UpstreamOption> onlyEjected { { &ejected, { 0, 0 }, 0, true } };
     cr_assert_eq(chooseEngine(onlyEjected, 800, {}, random)->record, &ejected);
     cr_assert_null(chooseEngine({}, 800, {}, random));
 }
 
-// Twenty nodes send requests of a popular adapter with twelve long beginnings to its four copies, each node by itself. Sent to the least
-// loaded copy each time, every engine reads every beginning anew, and callers wait for prompts to be read that are kept next door. No
-// engine may get much more than its share for it.
-Test(upstreamchoice, requestsThatShareABeginningMeetAtOneCopy)
+// Requests for a popular adapter share twelve long prefixes and go to its four copies, chosen by each node on its own. If each went to the
+// least loaded copy, every engine would process every prefix, and callers would wait for prompts that another engine has cached. A long
+// queue must still send a request to another copy.
+Test(upstreamchoice, requestsWithASharedPrefixUseOneCopy)
 {
     const std::vector<UpstreamRecord> records { record("a"), record("b"), record("c"), record("d") };
     std::mt19937_64 random(5);
-    std::map<std::pair<std::string, std::string>, bool> read;
+    std::map<std::pair<std::string, std::string>, bool> processed;
     std::map<std::string, double> queued;
-    int kept = 0;
+    int cacheHits = 0;
     constexpr int Requests = 1200;
     for (int i = 0; i < Requests; ++i) {
         const std::string prefix = "aa:2500," + std::to_string(random() % 12) + ":3800";
@@ -177,57 +179,59 @@
         }
         creditSharedPrefix(options, prefix, 6300);
         const std::string chosen = chooseEngine(options, 9200, {}, random)->record->id.value();
-        bool &isRead = read[{ chosen, prefix }];
-        kept += isRead ? 1 : 0;
-        queued[chosen] += isRead ? 2900 : 9200;
-        isRead = true;
-        // 38 tokens a millisecond at each engine, a request every 30 ms: half of what they can read without any reuse is asked for.
+        bool &isProcessed = processed[{ chosen, prefix }];
+        cacheHits += isProcessed ? 1 : 0;
+        queued[chosen] += isProcessed ? 2900 : 9200;
+        isProcessed = true;
+        // 38 tokens per millisecond at each engine and a request every 30 ms: without reuse the engines could process half of the tokens.
         for (auto &[id, tokens] : queued) {
             tokens = std::max(tokens - 30 * 38, 0.0);
         }
     }
-    cr_assert_gt(kept, Requests * 9 / 10);
-    std::vector<UpstreamOption> crowded { { &records[0], { 0, 0 }, 1, true }, { &records[1], { 0, 0 }, 1, true } };
-    creditSharedPrefix(crowded, "p", 6300);
-    UpstreamOption &home = crowded[0].cachedTokens > 0 ? crowded[0] : crowded[1];
-    home.load.pendingTokens = 20'000;
-    cr_assert_neq(chooseEngine(crowded, 9200, {}, random)->record, home.record, "a queue longer than the reading sends it elsewhere");
+    cr_assert_gt(cacheHits, Requests * 9 / 10);
+    std::vector<UpstreamOption> twoOptions { { &records[0], { 0, 0 }, 1, true }, { &records[1], { 0, 0 }, 1, true } };
+    creditSharedPrefix(twoOptions, "p", 6300);
+    UpstreamOption &preferred = twoOptions[0].cachedTokens > 0 ? twoOptions[0] : twoOptions[1];
+    preferred.load.pendingTokens = 20'000;
+    cr_assert_neq(chooseEngine(twoOptions, 9200, {}, random)->record, preferred.record,
+        "a queue that costs more than processing the prefix sends the request elsewhere");
 }
 
-// Peers that fell silent have nothing running that anybody knows of: their last figures must not weigh for ever.
-Test(upstreambook, silentPeersStopCounting)
+// Guards against the last reported load of a peer that sends no more messages counting forever.
+Test(upstreamloadtracker, stalePeersAreNotCounted)
 {
-    UpstreamLoadTracker book;
-    book.onPeerLoads(NodeId("n"), { UpstreamLoad { UpstreamId("u"), 5, 100 } }, Start);
-    cr_assert_eq(book.load(UpstreamId("u"), Start).running, 5);
-    cr_assert_eq(book.load(UpstreamId("u"), Start + Duration(1600)).running, 0);
-    book.onSent(UpstreamId("u"), 100);
-    book.onEnded(UpstreamId("u"), 100);
-    cr_assert(book.own().empty());
+    UpstreamLoadTracker tracker;
+    tracker.onPeerLoads(NodeId("n"), { UpstreamLoad { UpstreamId("u"), 5, 100 } }, Start);
+    cr_assert_eq(tracker.load(UpstreamId("u"), Start).running, 5);
+    cr_assert_eq(tracker.load(UpstreamId("u"), Start + Duration(1600)).running, 0);
+    tracker.onSent(UpstreamId("u"), 100);
+    tracker.onEnded(UpstreamId("u"), 100);
+    cr_assert(tracker.own().empty());
 }
 
-// Messages replace each other several times a second, some name an upstream twice, and nodes fall silent in between. Sums that drift make
-// an idle engine look full for good, so that it gets no requests while others are crowded.
-Test(upstreambook, sumsFollowEachMessageAndReturnToZero)
+// Messages replace each other several times a second, some name an upstream twice, and peers stop sending in between. Sums that drift would
+// make an idle engine look loaded forever, so that it gets no requests while other engines are overloaded.
+Test(upstreamloadtracker, sumsFollowEachMessageAndReturnToZero)
 {
     const UpstreamId one("one");
     const UpstreamId two("two");
-    UpstreamLoadTracker book;
+    UpstreamLoadTracker tracker;
     std::mt19937_64 random(11);
     Time now = Start;
     for (int round = 0; round < 2000; ++round) {
         now = now + Duration(7);
         const NodeId peer("node-" + std::to_string(random() % 20));
-        const auto figure = [&random] { return static_cast<std::uint32_t>(random() % 4); };
-        book.onPeerLoads(
-            peer, { UpstreamLoad { one, figure(), 1000 * figure() }, UpstreamLoad { one, figure(), 0 }, UpstreamLoad { two, 0, 0 } }, now);
-        cr_assert_geq(book.load(one, now).running, 0);
+        const auto randomLoad = [&random] { return static_cast<std::uint32_t>(random() % 4); };
+        tracker.onPeerLoads(peer,
+            { UpstreamLoad { one, randomLoad(), 1000 * randomLoad() }, UpstreamLoad { one, randomLoad(), 0 }, UpstreamLoad { two, 0, 0 } },
+            now);
+        cr_assert_geq(tracker.load(one, now).running, 0);
     }
     for (int peer = 0; peer < 20; ++peer) {
-        book.onPeerLoads(NodeId("node-" + std::to_string(peer)), { UpstreamLoad { one, 2, 50 } }, now);
+        tracker.onPeerLoads(NodeId("node-" + std::to_string(peer)), { UpstreamLoad { one, 2, 50 } }, now);
     }
-    cr_assert_eq(book.load(one, now).running, 40);
-    cr_assert_eq(book.load(one, now).pendingTokens, 1000);
-    cr_assert_eq(book.load(one, now + UpstreamLoadTracker::PeerTimeout + Duration(200)).running, 0);
-    cr_assert_eq(book.load(two, now).running, 0);
+    cr_assert_eq(tracker.load(one, now).running, 40);
+    cr_assert_eq(tracker.load(one, now).pendingTokens, 1000);
+    cr_assert_eq(tracker.load(one, now + UpstreamLoadTracker::PeerTimeout + Duration(200)).running, 0);
+    cr_assert_eq(tracker.load(two, now).running, 0);
 }
