--- a/coordination/upstreamscheduler.cpp
+++ b/coordination/upstreamscheduler.cpp
@@ -17,26 +17,27 @@
 namespace
 {
 
-// More permits at once than this would only take turns from other engines.
+// More permit requests at once would only delay the loads of other engines.
 constexpr int MaxPermitRequests = 4;
-// A permit is asked for again when nothing came, since the message or the giver may be lost.
+// A permit is requested again after this time without a grant because the message or the permit issuer may be lost.
 constexpr Duration PermitRequestTimeout { 2000 };
 // Weight of the newest sample in a moving average.
 constexpr double NewestWeight = 0.1;
 constexpr double NewestIntervalWeight = 0.3;
-// Patient work is held for a fuller batch for this part of its allowance at most, at a batch share of 1.
+// Part of its allowance for which a patient request is held at most for a fuller batch, at a batch share of 1.
 constexpr double MaxHoldFraction = 0.1;
-// The wait of a load that started this long ago says something of the next one's.
+// The wait of a recent load is used to estimate the wait of the next one if it is no older than this.
 constexpr Duration LoadWaitMaxAge { 2000 };
-// The part of its allowance that an urgent request is let in to wait for a load, at a stall share of 1 and of 0. Under a burst the loads
-// serve as many either way; a short queue serves them sooner and tells the rest at once.
+// Part of its allowance that an urgent request may be expected to wait for a load before it is refused, at a stall share of 1 and of 0.
+// In a burst the loads serve as many requests either way; a short queue serves them sooner and refuses the others at once.
 constexpr double MinLoadWaitFraction = 0.15;
 constexpr double MaxLoadWaitFraction = 1.0;
 constexpr Duration MinRetryAfter { 1000 };
 constexpr Duration MaxRetryAfter { 60'000 };
-// Callers that are refused together are told to come back spread over this part of the wait, in hundredths.
+// Retry times of callers that are refused together are spread over this part of the wait, in percent, so that they do not return together.
 constexpr int RetrySpreadPercent = 25;
-// An adapter is fetched ahead of need when it was asked for at least twice of late, and twice as often as the one that goes for it.
+// An adapter is prefetched if it was requested at least twice recently and at least twice as often as the adapter evicted for it. Scores
+// are base-2 logarithms, so a lead of 1 is a factor of two.
 constexpr double MinPrefetchUses = 2.0;
 constexpr double MinPrefetchScoreLead = 1.0;
 
@@ -111,7 +112,7 @@
     WorkQueue queue;
     LoadQueue order;
     absl::flat_hash_map<RequestId, Running> running;
-    // Seats taken by requests of the engine's present start; those of an earlier one hold no seat there.
+    // Seats taken by requests dispatched since the engine's last restart; requests from before it hold no seat.
     int seats = 0;
     int nonUrgentSeats = 0;
     std::uint64_t engineStart = 0;
@@ -120,17 +121,17 @@
     int publishedBatch;
     int reservedSlots;
     bool isReleasingPatient = false;
-    // Tokens a millisecond that one seat has served lately; 0 until measured.
+    // Moving average of the tokens per millisecond that one seat serves; 0 until measured.
     double seatRate = 0;
-    // How long the last load at each level had been waited for when it started, and when that was.
+    // How long requests had waited for the last load at each level when it started, and the time of that start.
     std::array<Duration, QueueLevelCount> lastLoadWait {};
     std::array<Time, QueueLevelCount> lastLoadStart {};
-    // What the giver of permits last said of the wait at each level, and when.
+    // The last estimate of the permit issuer for the wait at each level, and when it came.
     std::array<Duration, QueueLevelCount> permitWait {};
     std::array<Time, QueueLevelCount> permitWaitAt {};
     std::vector<HeldPermit> permits;
     absl::flat_hash_map<AdapterKey, SentPermitRequest> sentPermitRequests;
-    // Which permit a load in flight was started with, by the adapter it loads.
+    // The adapters for which the permits of loads in flight were requested, by the adapter being loaded.
     absl::flat_hash_map<AdapterKey, AdapterKey> usedPermits;
     int loadsInFlight = 0;
     std::vector<SchedulerAction> actions;
@@ -173,7 +174,7 @@
     void prefetch(Time now);
 };
 
-// The longest expected wait with which a request is let in.
+// The longest expected wait with which a request is accepted.
 Duration UpstreamScheduler::Private::allowedWait(const WorkItem &item, Time now) const
 {
     const Duration left = item.deadline - now;
@@ -193,13 +194,13 @@
     }
     const auto state = engineSlots.state(adapter);
     const auto present = order.demand(adapter);
-    // The load is under way or has its place already; this request only joins it.
+    // The load is in flight or queued already; this request only joins it.
     if (state == SlotState::Loading || (present.has_value() && present->level <= level)) {
         return std::max(limits.loadTime, order.remainingBackoff(adapter, now));
     }
-    // Loads of a level go about in the order of arrival, over the whole fleet, so the wait of the one that is next, and of the one that
-    // went last, tell that of the next to come, and the giver of permits says what it sees. A count of those ahead would not: it knows this
-    // engine's alone.
+    // Loads of one level start roughly in order of arrival across the whole fleet. The wait is therefore estimated from the load that is
+    // next, the load that started last, and the permit issuer's estimate. A count of the loads ahead would not do, since it covers only
+    // this engine.
     Duration wait;
     if (const auto head = order.headOfLine(level)) {
         wait = now - *head;
@@ -214,7 +215,7 @@
     return std::max(wait + limits.loadTime, order.remainingBackoff(adapter, now));
 }
 
-// How long a request that arrives now would wait for its first token, by what is ahead of it and how fast that went lately.
+// The expected wait of a request that arrives now, from the tokens ahead of it and the recent service rate.
 Duration UpstreamScheduler::Private::expectedWait(const WorkItem &item, Time now) const
 {
     const QueueLevel level = levelOf(item.priority);
@@ -248,7 +249,7 @@
     engineSlots.removeQueued(item.adapter);
 }
 
-// Brings the readiness of an adapter's requests and its place among the loads in line with its slot.
+// Updates the readiness of an adapter's requests and its place in the load order after a change of its slot or its demand.
 void UpstreamScheduler::Private::refreshAdapter(const AdapterKey &adapter, Time now)
 {
     const auto state = engineSlots.state(adapter);
@@ -317,7 +318,7 @@
         refreshAdapter(event.adapter, now);
         return;
     }
-    // What could still be served by another try keeps its place; the rest learns now that it was not run.
+    // Requests that another try can still serve stay queued; the others are refused now.
     const auto nextTry = order.onLoadFailed(event.adapter, now);
     const Time minDeadline = nextTry.has_value() ? *nextTry + limits.loadTime : Time::never();
     refuseAll(queue.takeAdapter(event.adapter, minDeadline), ErrorKind::AdapterLoadFailed, order.remainingBackoff(event.adapter, now));
@@ -330,8 +331,8 @@
     refreshAdapter(event.adapter, now);
 }
 
-// Requests of the old start still count as users of their adapter until each has ended: the restart may have been inferred wrongly,
-// and an eviction under a request that still runs would break its answer midway. They no longer hold seats.
+// Requests from before the restart still pin their adapter until each has ended: the restart may have been inferred wrongly, and the
+// eviction of an adapter that a request runs on would break off its answer. They no longer hold seats.
 void UpstreamScheduler::Private::on(const UpstreamRestarted &, Time now)
 {
     const std::vector<AdapterKey> before = engineSlots.residents();
@@ -395,7 +396,7 @@
     }
 }
 
-// Whether patient requests leave now or wait for a fuller batch. Once they leave, all that are ready go.
+// Returns whether patient requests are dispatched now or wait for a fuller batch. Once released, all ready ones are dispatched.
 bool UpstreamScheduler::Private::mayDispatchPatient(Time now)
 {
     const int ready = queue.readyCount(QueueLevel::Patient);
@@ -403,7 +404,7 @@
         isReleasingPatient = false;
         return false;
     }
-    // A held request keeps its adapter's slot, so none is held while another adapter waits for one.
+    // A held request pins its adapter's slot, so no request is held while another adapter waits to be loaded.
     if (isReleasingPatient || !order.isEmpty() || seats + ready >= batchShare * limits.batch) {
         isReleasingPatient = true;
         return true;
@@ -457,8 +458,8 @@
     return limits.needsPermits ? static_cast<int>(permits.size()) : limits.parallelLoads - loadsInFlight;
 }
 
-// A long job holds its slot until it ends. Were all slots taken by such, an urgent request for another adapter would wait for one of
-// them to end, however soon its load could be had; so the last slots are left to urgent work.
+// A long request pins its slot until it ends. If such requests pinned all slots, an urgent request for another adapter would wait for one
+// of them to end even if its load could start at once; the last slots are therefore reserved for urgent requests.
 bool UpstreamScheduler::Private::maySlotBeTaken(const AdapterKey &adapter) const
 {
     const auto demand = order.demand(adapter);
@@ -467,7 +468,7 @@
     return isUrgent || hasSlot || engineSlots.unpinnedSlots() + engineSlots.evictingCount() > reservedSlots;
 }
 
-// True when @p adapter can be loaded at once. Otherwise sees to it that a slot comes free, if one can.
+// Returns whether @p adapter can be loaded at once. If not, starts an eviction if possible, unless a slot is being freed for it already.
 bool UpstreamScheduler::Private::makeRoom(const AdapterKey &adapter, int &slotsBeingFreed, Time now)
 {
     if (engineSlots.state(adapter) == SlotState::Unknown || engineSlots.freeSlots() > 0) {
@@ -502,7 +503,7 @@
     order.remove(adapter);
     ++loadsInFlight;
     if (limits.needsPermits) {
-        // Any permit of this engine serves; its own, if there, keeps the giver's books simple.
+        // Any permit of this engine may be used; the one requested for this adapter is preferred for simple accounting at the issuer.
         auto own = std::find_if(permits.begin(), permits.end(), [&](const auto &permit) { return permit.requestedFor == adapter; });
         if (own == permits.end()) {
             own = permits.begin();
@@ -546,14 +547,14 @@
     }
     const double score = engineSlots.score(*target);
     const double uses = std::exp2(score - engineSlots.singleUseScore(now));
-    // The same question as prefetch() asks: a permit that cannot be used would be returned and asked for again without an end.
+    // Must agree with prefetch(): a permit that cannot be used would be released and requested again in an endless loop.
     const bool hasRoom = engineSlots.freeSlots() > 0 || engineSlots.evictingCount() > 0
         || engineSlots.evictionVictim(false, now, score - MinPrefetchScoreLead).has_value();
     const bool isBackingOff = order.remainingBackoff(*target, now) > Duration();
     return uses >= MinPrefetchUses && hasRoom && !isBackingOff ? target : std::nullopt;
 }
 
-// Uses a permit that no waiting request needs any more, or gives it back so that another engine can.
+// Uses a permit that no waiting request needs any more for a prefetch, or releases it so that another engine can use it.
 void UpstreamScheduler::Private::prefetch(Time now)
 {
     const auto target = prefetchTarget(now);
@@ -592,7 +593,7 @@
         if (!maySlotBeTaken(adapter)) {
             break;
         }
-        // The permits that are here already are for the first ones.
+        // The permits already held cover the first adapters.
         if (held-- > 0) {
             continue;
         }
--- a/coordination/upstreamscheduler.h
+++ b/coordination/upstreamscheduler.h
@@ -14,20 +14,20 @@
 
 // Events.
 
-/** A request wants to run on this upstream. */
+/** A request arrived for this upstream. */
 struct WorkArrived
 {
     WorkItem item;
 };
 /**
- * The caller went away, or the request was given up on. A waiting request is forgotten; one that was dispatched may still run, so it
- * counts until its WorkFinished.
+ * The caller is gone or the request was abandoned. A waiting request is removed; a dispatched one may still be running, so it counts until
+ * its WorkFinished.
  */
 struct WorkCancelled
 {
     RequestId id;
 };
-/** A dispatched request ended, whatever its outcome. */
+/** A dispatched request ended, with any outcome. */
 struct WorkFinished
 {
     RequestId id;
@@ -37,7 +37,7 @@
 {
     AdapterKey adapter;
     bool isLoaded = false;
-    /** No answer came, as after a timeout: the adapter may be loaded or not. */
+    /** There was no answer, as after a timeout: the adapter may or may not be loaded. */
     bool isUnknown = false;
 };
 /** The answer to a StartEvict. */
@@ -45,48 +45,48 @@
 {
     AdapterKey adapter;
     bool isEvicted = false;
-    /** No answer came: the adapter may be there or not. */
+    /** There was no answer: the adapter may or may not be loaded. */
     bool isUnknown = false;
 };
-/** The upstream restarted: nothing is loaded there any more. */
+/** The upstream restarted and holds no adapters. */
 struct UpstreamRestarted
 {
 };
-/** A load that was asked for with RequestPermit may start, until it expires. */
+/** A load requested with RequestPermit may start before @p expiry. */
 struct PermitGranted
 {
     AdapterKey adapter;
     Time expiry;
 };
-/** How long a load that is asked for now will wait for its permit, as the giver sees it. */
+/** How long a load requested now will wait for its permit, as estimated by the permit issuer. */
 struct PermitWaitEstimated
 {
     Priority urgency = Priority::Standard;
     Duration wait;
 };
-/** What the upstream said of itself; it lags. */
+/** The state that the upstream reported; it may be out of date. */
 struct LoadReport
 {
-    /** When the upstream took it, on this node's clock, at the earliest. */
+    /** The earliest time that the report may describe, on this node's clock. */
     Time takenAt;
     std::vector<AdapterKey> loaded;
-    /** Adapters that some request runs or waits on there, from whichever node. */
+    /** Adapters that requests of any node run on or wait for there. */
     std::vector<AdapterKey> inUse;
     int running = 0;
     int waiting = 0;
 };
-/** Whether evictions are safe now, as the ownership of this upstream has it, and what must stay loaded all the same. */
+/** Whether UpstreamOwnership allows evictions now, and which adapters must stay loaded even then. */
 struct EvictionRule
 {
     bool mayEvict = true;
     std::vector<AdapterKey> inUseElsewhere;
 };
-/** The upstream is slow, or well again: this many requests may run there at once from now on, 1 to its batch. */
+/** The concurrency limit changed: this many requests may run on the upstream at once from now on, 1 to its batch. */
 struct BatchLimited
 {
     int seats = 1;
 };
-/** Time went by. */
+/** Time has passed. */
 struct Tick
 {
 };
@@ -95,21 +95,21 @@
 
 // Actions.
 
-/** Asks for the fleet's leave to load. Answered by PermitGranted, in its own time. */
+/** Request a permit of the fleet to load the adapter. Answered by PermitGranted at any later time. */
 struct RequestPermit
 {
     AdapterKey adapter;
-    /** The most urgent class that waits for it; empty for a prefetch. */
+    /** The most urgent class of the requests that wait for the adapter; empty for a prefetch. */
     std::optional<Priority> urgency;
-    /** Requests that wait for it now. */
+    /** Requests that wait for the adapter now. */
     int waiting = 0;
-    /** How long the first of them has waited. */
+    /** How long the first of these requests has waited. */
     Duration waited;
 };
-/** A permit, or the wish for one, ends. */
+/** Release a permit or withdraw the request for one. */
 struct ReleasePermit
 {
-    /** As in the RequestPermit. */
+    /** The adapter of the RequestPermit. */
     AdapterKey adapter;
     PermitEnd end = PermitEnd::Used;
 };
@@ -125,47 +125,48 @@
 {
     RequestId id;
 };
-/** The request did not run and will not. */
+/** Refuse a request that has not run and will not run. */
 struct Refuse
 {
     RequestId id;
     ErrorKind kind = ErrorKind::Overloaded;
-    /** When the caller should come back; zero means no advice. */
+    /** When the caller should retry; zero means no advice. */
     Duration retryAfter;
 };
 using SchedulerAction = std::variant<RequestPermit, ReleasePermit, StartLoad, StartEvict, Dispatch, Refuse>;
 
 struct SchedulerLimits
 {
-    /** Adapters that fit at once. */
+    /** Adapters that can be loaded at once. */
     int slots = 8;
-    /** Requests that run at once. */
+    /** Requests that can run at once. */
     int batch = 16;
-    /** Expected time of one load. */
+    /** Expected duration of one load. */
     Duration loadTime { 250 };
     /** Whether a load needs a permit of the fleet (RequestPermit) before StartLoad. */
     bool needsPermits = false;
-    /** Loads in flight at once on this engine when no permits are needed. */
+    /** Loads in flight at once on this engine if no permits are needed. */
     int parallelLoads = 2;
-    /** Weight of short stalls against full batches; the two count as their shares of the sum. */
+    /** Weights of short stalls and of full batches; only their ratio matters. */
     int stallWeight = 50;
     int batchWeight = 50;
-    /** Part of the batch that only urgent requests take, 0 to 90. */
+    /** Part of the batch reserved for urgent requests, 0 to 90. */
     int urgentSeatsPercent = 12;
-    /** Part of the slots that loads for other than urgent work leave unpinned, 0 to 90. */
+    /** Part of the slots that loads for non-urgent requests leave unpinned, 0 to 90. */
     int urgentSlotsPercent = 25;
-    /** Seed of the jitter of back-off. */
+    /** Seed of the backoff jitter. */
     std::uint64_t seed = 1;
 };
 
-// Composed of residency.h (which adapters are held), loadorder.h (which is loaded next) and workqueue.h (who leaves next).
-// Grounds for the figures here: of a batch of 16, two seats kept for urgent requests let a question start at once while patient work
-// fills the rest; patient work that is held for a fuller batch waits a tenth of its allowance at most.
+// Composed of residency.h (which adapters are loaded), loadorder.h (which adapter is loaded next) and workqueue.h (which request is
+// dispatched next). A seat is a place in the engine's batch. With two of 16 seats reserved for urgent requests, a short urgent request
+// starts at once while patient requests fill the rest. Patient requests that are held for a fuller batch wait at most a tenth of their
+// allowance.
 
 /**
- * Decides for one engine who waits, who runs and which adapters are loaded.
+ * Decides for one engine which requests wait, which run and which adapters are loaded.
  *
- * A state machine without I/O: give it what happened and the time, carry out the actions that it returns in their order. It is not
+ * A state machine without I/O: handle() takes an event and the time and returns actions, which must be executed in order. It is not
  * thread-safe; the caller holds the shard's lock.
  */
 class UpstreamScheduler
--- a/coordination/workitem.h
+++ b/coordination/workitem.h
@@ -10,7 +10,7 @@
 namespace ApricotStep
 {
 
-/** Class of a request: how long it may wait. */
+/** The class of a request, which says how long it may wait. */
 enum class Priority {
     Urgent,
     Standard,
@@ -19,17 +19,17 @@
 inline constexpr std::size_t PriorityCount = 3;
 inline constexpr std::array<std::string_view, PriorityCount> PriorityNames { "urgent", "standard", "patient" };
 
-/** Why a permit, or the wish for one, ends. */
+/** Why a permit or a permit request ends. */
 enum class PermitEnd {
-    /** The load that it was for has ended. */
+    /** The load that the permit was used for has ended. */
     Used,
-    /** It was granted and will not be used. */
+    /** The permit was granted and will not be used. */
     Unused,
-    /** It is no longer asked for. */
+    /** The permit is no longer requested. */
     Withdrawn,
 };
 
-/** A request as the decisions see it. */
+/** A request as the scheduler sees it. */
 struct WorkItem
 {
     RequestId id;
@@ -37,9 +37,9 @@
     Priority priority = Priority::Standard;
     CallerId caller;
     Time arrival;
-    /** The first token must have been sent by then, else the request is refused as not run. */
+    /** Deadline for the first token; a request that is still queued then is refused as not run. */
     Time deadline;
-    /** Estimated size in generated tokens; at least 1. */
+    /** Estimated number of generated tokens; at least 1. */
     int tokens = 1;
 };
 
--- a/coordination/workqueue.cpp
+++ b/coordination/workqueue.cpp
@@ -17,9 +17,9 @@
 {
 
 constexpr int RoundTokens = 256;
-// A larger request is charged as this much, so that choosing the next one takes a bounded number of rounds.
+// Upper bound of the tokens charged for one request, so that choosing the next one takes a bounded number of rounds.
 constexpr int MaxChargedTokens = 4096;
-// The part of its allowance that a request may wait before it is promoted, in hundredths.
+// Part of its allowance, in percent, that a request waits before it is promoted.
 constexpr int PromotionPercent = 75;
 
 using TimedId = std::pair<Time, RequestId>;
@@ -31,7 +31,7 @@
     std::list<RequestId>::iterator position;
 };
 
-// The requests of one caller for one adapter at one level, in order of arrival.
+// The requests of one caller for one adapter at one level, in the order in which they were queued.
 struct Flow
 {
     std::list<RequestId> ids;
@@ -41,7 +41,7 @@
 struct CallerQueue
 {
     absl::node_hash_map<AdapterKey, Flow> flows;
-    // Adapters whose turn comes; may hold some that are no longer ready, which are dropped when met.
+    // Adapters in round-robin order. May contain adapters that are no longer ready; readyFlow() removes them.
     std::list<AdapterKey> ring;
     std::int64_t tokens = 0;
     int deficit = 0;
@@ -194,7 +194,7 @@
     return item;
 }
 
-// The flow whose turn it is, at the front of the caller's ring; null when none of the caller's is ready.
+// Returns the first ready flow in the caller's ring, null if there is none; removes the flows before it from the ring.
 Flow *WorkQueue::Private::readyFlow(CallerQueue &caller)
 {
     while (!caller.ring.empty()) {
@@ -388,7 +388,7 @@
     const LevelQueue &own = d->levels[index(level)];
     const auto queue = own.callers.find(caller);
     const std::int64_t ownTokens = queue == own.callers.end() ? 0 : queue->second.tokens;
-    // In a round each caller gets as much as this one, so a flood of another's counts no more than this one's own queue.
+    // Each caller gets as many tokens per round as this one, so the queue of another caller counts at most as much as this caller's own.
     const auto sharers = static_cast<std::int64_t>(own.ring.size()) + 1;
     return before + std::min(own.readyTokens, (ownTokens + RoundTokens) * sharers);
 }
--- a/coordination/workqueue.h
+++ b/coordination/workqueue.h
@@ -6,18 +6,18 @@
 #include <optional>
 #include <vector>
 
-// Who of the waiting requests leaves next, and who is not let in.
+// Selects which waiting request is dispatched next, and counts the work ahead of a new request so that it can be refused in time.
 //
-// Load pattern: short urgent questions among large patient jobs, callers that send twenty times their share, one adapter that many ask
-// for, and more work than the engine can do. Without this module one queue serves in the order of arrival: a caller's flood or a row
-// of long jobs is everybody's wait, and under overload every request waits until its deadline and then fails.
-// Grounds for the figures: a round of 256 tokens is about a short answer, so that short requests leave in one round and a job of 4,096
-// tokens in sixteen; a request is promoted when a quarter of its allowance is left, enough to wait for a running job to end.
+// Handles short urgent requests among large patient ones, callers that send twenty times their share, an adapter that many requests need,
+// and more work than the engine can do. With one queue in order of arrival, the flood of one caller or a series of long requests would
+// delay all other requests, and under overload every request would wait until its deadline and then fail.
+// A round of 256 tokens is about a short answer, so that short requests are dispatched in one round and a request of 4,096 tokens in
+// sixteen. A request is promoted when a quarter of its allowance is left, which is enough to wait for a running request to end.
 
 namespace ApricotStep
 {
 
-/** Order of service: the class, and between urgent and the rest what has waited for most of its allowance. */
+/** The order of dispatch: by class, with a level below urgent for requests that have waited for most of their allowance. */
 enum class QueueLevel {
     Urgent,
     Aged,
@@ -26,15 +26,15 @@
 };
 inline constexpr std::size_t QueueLevelCount = 4;
 
-/** What waits for one adapter. */
+/** The requests that wait for one adapter. */
 struct AdapterDemand
 {
     int waiting = 0;
-    /** The first level that anything waits at, and the first arrival there. */
+    /** The most urgent level with a waiting request; priority, oldest and allowance are of the first arrival at that level. */
     QueueLevel level = QueueLevel::Patient;
     Priority priority = Priority::Patient;
     Time oldest;
-    /** The allowance of that first arrival: from its arrival to its deadline. */
+    /** Time from the arrival to the deadline. */
     Duration allowance;
 };
 
@@ -47,27 +47,27 @@
     WorkQueue(WorkQueue &&) noexcept;
     WorkQueue &operator=(WorkQueue &&) noexcept;
 
-    /** Takes in @p item; its id must not be waiting already. */
+    /** Adds @p item; ignored if a request with its id is waiting already. */
     void add(const WorkItem &item);
-    /** Empty when it does not wait here. */
+    /** Removes and returns the request; empty if it is not waiting here. */
     std::optional<WorkItem> remove(RequestId id);
-    /** Requests of an adapter leave only while it is ready, which is to say loaded. */
+    /** Requests of an adapter are dispatched only while it is ready, that is, loaded. */
     void setReady(const AdapterKey &adapter, bool isReady);
     /** Removes and returns the next ready request of @p lowest or a more urgent level: deficit round robin over callers, then adapters. */
     std::optional<WorkItem> next(QueueLevel lowest);
-    /** Removes and returns what is past its deadline. */
+    /** Removes and returns the requests whose deadline has passed. */
     std::vector<WorkItem> takeExpired(Time now);
     /** Removes and returns the requests of @p adapter whose deadline is before @p deadlineBefore. */
     std::vector<WorkItem> takeAdapter(const AdapterKey &adapter, Time deadlineBefore);
-    /** Promotes what has used most of its allowance; returns the adapters that it is for. */
+    /** Promotes requests that have used most of their allowance to QueueLevel::Aged; returns the adapters of these requests. */
     std::vector<AdapterKey> promoteAged(Time now);
 
     AdapterDemand demand(const AdapterKey &adapter) const;
     int size() const;
     int readyCount(QueueLevel level) const;
-    /** The ready patient request that arrived first; null when there is none. */
+    /** The ready patient request that arrived first; null if there is none. */
     const WorkItem *oldestReadyPatient() const;
-    /** Tokens that leave before a request of @p caller at @p level would, as the round robin has it. */
+    /** Tokens that the round robin would dispatch before a new request of @p caller at @p level. */
     std::int64_t tokensAhead(const CallerId &caller, QueueLevel level) const;
 
 private:
@@ -75,7 +75,7 @@
     std::unique_ptr<Private> d;
 };
 
-/** The level at which a request of class @p priority starts. */
+/** The level at which a request of class @p priority is queued. */
 QueueLevel levelOf(Priority priority);
 
 } // namespace ApricotStep
--- a/tests/coordination/testupstreamscheduler.cpp
+++ b/tests/coordination/testupstreamscheduler.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-Test(upstreamscheduler, oneLoadServesAllThatWaitForIt)
+Test(upstreamscheduler, oneLoadServesAllWaitingRequests)
 {
     UpstreamScheduler scheduler({ 2, 8, Duration(250) });
     cr_assert_eq(count<StartLoad>(scheduler.handle(WorkArrived { work(1, "a") }, Time(1))), 1);
@@ -38,7 +38,7 @@
 
 Test(upstreamscheduler, anAdapterInUseIsNeverEvicted)
 {
-    // All slots are taken and a request for another adapter arrives. Evicting what a request runs on would break its answer midway.
+    // All slots are taken and a request for another adapter arrives. Evicting an adapter that a request runs on would break off its answer.
     UpstreamScheduler scheduler({ 1, 8, Duration(250) });
     scheduler.handle(WorkArrived { work(1, "a") }, Time(1));
     scheduler.handle(LoadFinished { adapter("a"), true }, Time(2));
@@ -55,13 +55,13 @@
     cr_assert_eq(count<Refuse>(scheduler.handle(Tick {}, Time(399))), 0);
     cr_assert_eq(count<Refuse>(scheduler.handle(Tick {}, Time(400))), 1);
     cr_assert_eq(count<Dispatch>(scheduler.handle(LoadFinished { adapter("a"), true }, Time(401))), 0);
-    // A load takes 250 ms: who has less cannot be served and hears of it on arrival.
+    // A load takes 250 ms: a request with less time left cannot be served and is refused on arrival.
     cr_assert_eq(count<Refuse>(scheduler.handle(WorkArrived { work(2, "b", Priority::Urgent, Time(600)) }, Time(500))), 1);
 }
 
-Test(upstreamscheduler, aFailedLoadRefusesAtOnceWhatNoOtherTryCanServe)
+Test(upstreamscheduler, aFailedLoadRefusesRequestsThatNoRetryCanServe)
 {
-    // One load fails. Who has time is served by the next try; who has none learns at once that it was not run.
+    // A load fails. Requests with enough time left are served after the next try; the others are refused at once as not run.
     UpstreamScheduler scheduler({ 1, 8, Duration(250) });
     scheduler.handle(WorkArrived { work(1, "a") }, Time(1));
     scheduler.handle(WorkArrived { work(2, "a", Priority::Urgent, Time(400)) }, Time(1));
@@ -72,9 +72,9 @@
     cr_assert_eq(count<Dispatch>(scheduler.handle(LoadFinished { adapter("a"), true }, Time(900))), 1);
 }
 
-Test(upstreamscheduler, anAdapterThatNeverLoadsIsGivenUp)
+Test(upstreamscheduler, requestsForAnAdapterThatNeverLoadsAreRefused)
 {
-    // The weights are broken. A request with an hour to wait must not be held for an hour: it is refused after the last try.
+    // The weights are broken. A request with a deadline in an hour must not wait for an hour: it is refused after the last try.
     UpstreamScheduler scheduler({ 1, 8, Duration(250) });
     scheduler.handle(WorkArrived { work(1, "a", Priority::Standard, Time(3'600'000)) }, Time(1));
     int refused = 0;
@@ -101,10 +101,10 @@
     cr_assert_eq(count<StartEvict>(actions), 0);
 }
 
-Test(upstreamscheduler, aRestartNeitherLosesNorDoublesWork)
+Test(upstreamscheduler, aRestartKeepsWaitingRequestsAndPinnedAdapters)
 {
-    // The engine restarts while one request runs and one waits. The waiting one gets a new load; the end of the old one, late, must
-    // not free the adapter that the new one runs on.
+    // The engine restarts while one request runs and one waits. The adapter is loaded again for the waiting one; the late end of the other
+    // must not unpin the adapter.
     UpstreamScheduler scheduler({ 1, 1, Duration(250) });
     scheduler.handle(WorkArrived { work(1, "a") }, Time(1));
     scheduler.handle(LoadFinished { adapter("a"), true }, Time(2));
@@ -117,9 +117,9 @@
     cr_assert_eq(count<StartEvict>(scheduler.handle(WorkFinished { RequestId(2) }, Time(9001))), 1);
 }
 
-Test(upstreamscheduler, aCancelledRequestThatWasDispatchedStillHoldsItsAdapter)
+Test(upstreamscheduler, aCancelledDispatchedRequestPinsItsAdapter)
 {
-    // The caller hangs up, but the engine has the request. Until the engine is done with it the adapter must stay.
+    // The caller disconnects, but the engine is running the request. The adapter must stay loaded until the engine has finished it.
     UpstreamScheduler scheduler({ 1, 8, Duration(250) });
     scheduler.handle(WorkArrived { work(1, "a") }, Time(1));
     scheduler.handle(LoadFinished { adapter("a"), true }, Time(2));
@@ -128,7 +128,7 @@
     cr_assert_eq(count<StartEvict>(scheduler.handle(WorkFinished { RequestId(1) }, Time(9001))), 1);
 }
 
-Test(upstreamscheduler, seatsAreKeptForUrgentWork)
+Test(upstreamscheduler, seatsAreReservedForUrgentRequests)
 {
     SchedulerLimits limits { 2, 10, Duration(250) };
     limits.urgentSeatsPercent = 20;
@@ -140,9 +140,9 @@
     cr_assert_eq(count<Dispatch>(scheduler.handle(WorkArrived { work(20, "a", Priority::Urgent) }, Time(3))), 1);
 }
 
-Test(upstreamscheduler, whatCannotBeServedInTimeIsRefusedAtTheDoor)
+Test(upstreamscheduler, aRequestThatCannotBeServedInTimeIsRefusedOnArrival)
 {
-    // The engine is full with work for minutes, and a question comes with five seconds. Held, it would fail all the same, later.
+    // The engine has work for minutes, and a request with a deadline of five seconds arrives. If it were queued, it would fail later.
     UpstreamScheduler scheduler({ 1, 2, Duration(250) });
     scheduler.handle(WorkArrived { work(1, "a") }, Time(0));
     scheduler.handle(LoadFinished { adapter("a"), true }, Time(0));
@@ -154,10 +154,10 @@
     cr_assert_eq(count<Refuse>(actions), 1);
     const auto *refusal = std::get_if<Refuse>(&actions.front());
     cr_assert(refusal != nullptr && refusal->kind == ErrorKind::Overloaded);
-    cr_assert_gt(refusal->retryAfter, Duration::seconds(4), "coming back at once would be as useless");
+    cr_assert_gt(refusal->retryAfter, Duration::seconds(4), "an immediate retry would be refused again");
 }
 
-Test(upstreamscheduler, patientWorkLeavesInAFullerBatch)
+Test(upstreamscheduler, patientRequestsWaitForAFullerBatch)
 {
     SchedulerLimits limits { 1, 4, Duration(250) };
     limits.stallWeight = 0;
@@ -173,7 +173,7 @@
     }
     cr_assert_eq(dispatched, 0);
     cr_assert_eq(count<Dispatch>(scheduler.handle(WorkArrived { work(5, "a", Priority::Patient) }, Time(1000))), 4);
-    // With nobody to share the batch it leaves all the same once a tenth of its allowance is over.
+    // A single request is dispatched after a tenth of its allowance even if no others share the batch.
     for (std::uint64_t id = 2; id <= 5; ++id) {
         scheduler.handle(WorkFinished { RequestId(id) }, Time(2000));
     }
@@ -181,7 +181,7 @@
     cr_assert_eq(count<Dispatch>(scheduler.handle(Tick {}, Time(10'000))), 1);
 }
 
-Test(upstreamscheduler, aLoadWaitsForItsPermitAndGivesItBack)
+Test(upstreamscheduler, aLoadWaitsForItsPermitAndReleasesIt)
 {
     SchedulerLimits limits { 1, 4, Duration(250) };
     limits.needsPermits = true;
@@ -194,7 +194,7 @@
     cr_assert_eq(count<ReleasePermit>(scheduler.handle(LoadFinished { adapter("a"), true }, Time(350))), 1);
 }
 
-Test(upstreamscheduler, aPermitThatNobodyNeedsGoesBackAtOnce)
+Test(upstreamscheduler, anUnneededPermitIsReleasedAtOnce)
 {
     SchedulerLimits limits { 1, 4, Duration(250) };
     limits.needsPermits = true;
@@ -204,9 +204,9 @@
     cr_assert_eq(count<ReleasePermit>(scheduler.handle(PermitGranted { adapter("a"), Time(2000) }, Time(100))), 1);
 }
 
-Test(upstreamscheduler, aSlowEngineGetsFewerRequestsAndLaterItsBatchAgain)
+Test(upstreamscheduler, aSlowEngineGetsFewerRequestsUntilItRecovers)
 {
-    // An engine answers late. Sent on at the old rate, requests would wait inside it, where an urgent one cannot pass the others.
+    // An engine is slow. Requests sent at the old rate would wait inside it, where urgent ones cannot overtake the others.
     UpstreamScheduler scheduler({ 2, 8, Duration(250) });
     scheduler.handle(BatchLimited { 2 }, Time(1));
     for (std::uint64_t id = 1; id <= 5; ++id) {
@@ -218,10 +218,10 @@
     cr_assert_eq(scheduler.runningCount(), 4);
 }
 
-Test(upstreamscheduler, anUrgentRequestIsToldAtOnceWhenTheFleetsLoadsAreTakenForLong)
+Test(upstreamscheduler, anUrgentRequestIsRefusedWhenPermitsTakeTooLong)
 {
-    // A burst has filled the fleet's queue for loads. Let in, the question would wait nearly its whole allowance and hold up those after
-    // it; refused at once, its caller knows when to come back. A request whose adapter is loaded is not concerned.
+    // A burst has filled the fleet's queue of loads. An urgent request would wait for nearly its whole allowance and delay those after it;
+    // refused at once, its caller knows when to retry. A request whose adapter is loaded is not affected.
     SchedulerLimits limits { 2, 4, Duration(250) };
     limits.needsPermits = true;
     limits.stallWeight = 100;
@@ -235,14 +235,14 @@
     const auto warm = scheduler.handle(WorkArrived { work(3, "warm", Priority::Urgent, Time(11'000)) }, Time(1000));
     cr_assert_eq(count<Refuse>(cold), 1);
     cr_assert_eq(count<Dispatch>(warm), 1);
-    // What the giver said is forgotten soon: the burst may be over.
+    // The estimate of the permit issuer expires soon, since the burst may be over.
     cr_assert_eq(count<Refuse>(scheduler.handle(WorkArrived { work(4, "cold", Priority::Urgent, Time(14'000)) }, Time(4000))), 0);
 }
 
-Test(upstreamscheduler, longJobsLeaveASlotForUrgentWork)
+Test(upstreamscheduler, longRequestsLeaveASlotForUrgentOnes)
 {
-    // Summaries on rare adapters take all slots for a minute each. Without a slot of its own an urgent question for another adapter
-    // waits for one of them to end, however soon its load could be had.
+    // Long requests for rare adapters would pin all slots for a minute each. Without a reserved slot an urgent request for another adapter
+    // would wait for one of them to end even if its load could start at once.
     SchedulerLimits limits { 4, 16, Duration(250) };
     limits.urgentSlotsPercent = 25;
     UpstreamScheduler scheduler(limits);
@@ -259,8 +259,8 @@
     cr_assert_eq(count<StartLoad>(scheduler.handle(WorkArrived { work(9, "urgent", Priority::Urgent) }, Time(5000))), 1);
 }
 
-// Guards against a permit for a prefetch that is returned and asked for again at once, without an end, while nothing may be evicted.
-Test(upstreamscheduler, aPrefetchThatFindsNoRoomIsNotAskedForAgain)
+// Guards against an endless loop that releases a permit for a prefetch and requests it again while no adapter may be evicted.
+Test(upstreamscheduler, aPrefetchWithoutRoomIsNotRequestedAgain)
 {
     SchedulerLimits limits { 1, 8, Duration(250) };
     limits.needsPermits = true;
@@ -277,7 +277,7 @@
     const auto actions = scheduler.handle(PermitGranted { adapter("a"), Time(9000) }, Time(3000));
     cr_assert_eq(count<ReleasePermit>(actions), 1);
     cr_assert_eq(count<RequestPermit>(actions), 0);
-    // Once something may go, the prefetch finds its room.
+    // Once evictions are allowed, the prefetch gets a slot.
     cr_assert_eq(count<RequestPermit>(scheduler.handle(EvictionRule { true, {} }, Time(4000))), 1);
     cr_assert_eq(count<StartEvict>(scheduler.handle(PermitGranted { adapter("a"), Time(9000) }, Time(4001))), 1);
 }
--- a/tests/coordination/testworkqueue.cpp
+++ b/tests/coordination/testworkqueue.cpp
@@ -19,9 +19,9 @@
 
 } // namespace
 
-Test(workqueue, aFloodOfOneCallerDelaysItselfAlone)
+Test(workqueue, aFloodOfOneCallerDelaysOnlyThatCaller)
 {
-    // A script sends a hundred requests at once; a manager asks one question after it. Served by arrival, the manager waits for all.
+    // One caller sends a hundred requests at once, then another sends one. In order of arrival the latter would wait for all of them.
     WorkQueue queue;
     queue.setReady(adapter("a"), true);
     for (std::uint64_t id = 1; id <= 100; ++id) {
@@ -36,7 +36,7 @@
     cr_assert_eq(queue.size(), 100 - before);
 }
 
-Test(workqueue, aCallerWithManyAdaptersGetsNoMoreThanOne)
+Test(workqueue, aCallerWithManyAdaptersGetsNoLargerShare)
 {
     WorkQueue queue;
     std::uint64_t id = 1;
@@ -56,7 +56,7 @@
     cr_assert_eq(ofOne, 10);
 }
 
-Test(workqueue, aLongJobPaysForItsLength)
+Test(workqueue, aLongRequestIsChargedForItsLength)
 {
     WorkQueue queue;
     queue.setReady(adapter("a"), true);
@@ -70,9 +70,9 @@
     cr_assert_eq(queue.next(QueueLevel::Patient)->id, RequestId(1));
 }
 
-Test(workqueue, patientWorkThatUsedUpItsPatienceIsPromoted)
+Test(workqueue, requestsThatUsedMostOfTheirAllowanceArePromoted)
 {
-    // Standard requests keep coming. Without promotion a summary waits behind them until the morning has passed.
+    // Standard requests keep arriving. Without promotion a patient request would wait behind them until its deadline.
     WorkQueue queue;
     queue.setReady(adapter("a"), true);
     queue.add(item(1, "office", Priority::Patient));
@@ -85,7 +85,7 @@
     cr_assert_eq(queue.next(QueueLevel::Patient)->id, RequestId(3));
 }
 
-Test(workqueue, whatIsNotLoadedDoesNotBlockWhatIs)
+Test(workqueue, requestsForMissingAdaptersDoNotBlockOthers)
 {
     WorkQueue queue;
     queue.add(item(1, "c", Priority::Urgent, 100, "cold"));
@@ -97,7 +97,7 @@
     cr_assert_eq(queue.next(QueueLevel::Patient)->id, RequestId(1));
 }
 
-Test(workqueue, countsSurviveEveryWayOut)
+Test(workqueue, countsMatchAfterEveryKindOfRemoval)
 {
     WorkQueue queue;
     queue.setReady(adapter("a"), true);
@@ -119,9 +119,9 @@
     cr_assert_eq(queue.size(), 0);
 }
 
-Test(workqueue, anotherCallersFloodDoesNotLengthenTheExpectedWait)
+Test(workqueue, aFloodOfAnotherCallerDoesNotLengthenTheExpectedWait)
 {
-    // The wait that is expected decides who is refused at the door. A flood must get its own sender refused, not the others.
+    // The expected wait decides which requests are refused on arrival. A flood must only cause refusals for the caller that sends it.
     WorkQueue queue;
     queue.setReady(adapter("a"), true);
     for (std::uint64_t id = 1; id <= 100; ++id) {
