--- a/tests/coordination/testexploration.cpp
+++ b/tests/coordination/testexploration.cpp
@@ -17,10 +17,10 @@
 
 } // namespace
 
-Test(exploration, noHistoryBreaksAPromise)
+Test(exploration, noHistoryViolatesAnInvariant)
 {
-    // Nodes pause, crash, lose each other and start again while engines restart and callers repeat themselves. Whatever happens, no
-    // caller may get a wrong answer, a doubled payment or a false 'not run'.
+    // Nodes pause, crash, restart and are partitioned while engines restart and callers repeat requests. Guards against wrong answers,
+    // doubled payments and requests reported as not run although they ran.
     HistoryResult sum;
     for (std::uint64_t seed = 1; seed <= Histories; ++seed) {
         const HistoryResult one = exploreHistory(seed, nodesOf(seed), Safeguard::None);
@@ -36,19 +36,20 @@
     cr_assert_gt(sum.takeovers, Histories);
 }
 
-Test(exploration, seedsThatShowedAFaultStayGood)
+Test(exploration, seedsThatFoundFaultsPass)
 {
-    // 433 and 1255: a node woke and sent to an engine that had begun to leave meanwhile. 649: a node came back with an older
-    // configuration. 1390: a new owner sent at once to an engine that another node had claimed.
+    // Guards against faults that these seeds once found. 433 and 1255: a node resumed after a pause and sent a request to an engine that
+    // had begun to leave meanwhile. 649: a node restarted with an older configuration. 1390: a new owner dispatched at once to an engine
+    // that another node had claimed.
     for (const std::uint64_t seed : { 433, 649, 1255, 1390 }) {
         const HistoryResult one = exploreHistory(seed, nodesOf(seed), Safeguard::None);
         cr_assert_eq(one.total(), 0, "seed %llu: %s", static_cast<unsigned long long>(seed), one.first.c_str());
     }
 }
 
-Test(exploration, eachGuardThatIsLeftOutIsMissed)
+Test(exploration, eachDisabledSafeguardIsDetected)
 {
-    // An exploration that never fails could just as well look at nothing.
+    // Guards against an exploration that checks nothing: each disabled safeguard must lead to a violation in some history.
     constexpr std::uint64_t SeedsToTry = 2000;
     for (const Safeguard guard : AllSafeguards) {
         bool isCaught = false;
--- a/tests/fakes/exploration.cpp
+++ b/tests/fakes/exploration.cpp
@@ -32,7 +32,7 @@
 constexpr Duration ReportLag(300);
 constexpr Duration KeyLifetime = Duration::seconds(8);
 constexpr Duration ReadInterval(1000);
-/** From the first node's seeing it: gossip or the own VM list, the wake-up of a paused node and the longest way to the upstream. */
+/** Counts from the first node that learns of it: covers gossip or a VM list read, a paused node and the longest delay to the upstream. */
 constexpr Duration LeavingBound = Duration::seconds(3);
 constexpr Duration ConfigBound = Duration::seconds(4);
 constexpr Duration RestartTime = Duration::seconds(2);
@@ -155,7 +155,7 @@
     }
 
 private:
-    // Chance and time.
+    // Randomness and time.
     std::int64_t draw(std::int64_t low, std::int64_t high)
     {
         return std::uniform_int_distribution<std::int64_t>(low, high)(m_random);
@@ -188,13 +188,13 @@
                 + " ms: " + what;
         }
     }
-    // A node's steady clock counts from a start of its own, so that a moment that crosses nodes shows up as nonsense.
+    // Each node's steady clock has its own offset, so that comparing times of different nodes leads to errors that show.
     Time clockOf(const ExploredNode &node) const
     {
         return m_now + node.clockOffset;
     }
 
-    /** Has node @p index do @p what: later when it is paused, never when that start of it is gone. */
+    /** Runs @p what on node @p index: deferred while the node is paused, never after that start of the node has ended. */
     void runOnNode(std::size_t index, int start, std::function<void()> what)
     {
         ExploredNode &node = m_nodes[index];
@@ -291,7 +291,7 @@
     HistoryResult m_result;
 };
 
-// --- The fleet.
+// --- Nodes and membership.
 
 void TestCluster::setUp()
 {
@@ -405,7 +405,7 @@
     }
     node.isUp = false;
     m_lastFaultEnd = std::max(m_lastFaultEnd, m_now);
-    // Callers in progress see their connections break and learn nothing.
+    // The connections of requests in progress break, and their callers get no outcome.
     node.runners.clear();
     if (chance(0.5)) {
         node.wallOffset = Duration(draw(-20'000, 20'000));
@@ -548,7 +548,7 @@
     }
 }
 
-// --- Configuration: the operator publishes, nodes read, tell and fetch.
+// --- Configuration: the operator publishes versions; nodes read and gossip them.
 
 AdapterKey TestCluster::resolve(int label, std::uint64_t version) const
 {
@@ -562,7 +562,7 @@
         m_isServiceStale = chance(0.3);
         m_servedVersion = m_isServiceStale ? std::max<std::uint64_t>(1, m_published - static_cast<std::uint64_t>(draw(1, 2))) : m_published;
         if (m_isServiceStale) {
-            // One node has seen the new value before the service fell back to an old one.
+            // One node has read the new version before the service returned to an old one.
             const std::size_t index = anyNode();
             const int start = m_nodes[index].start;
             runOnNode(index, start, [this, index] { takeVersion(index, m_published); });
@@ -580,7 +580,7 @@
     ExploredNode &node = m_nodes[index];
     const std::uint64_t served = m_servedVersion;
     if (!node.isReady) {
-        // What peers tell comes before what the service says: it may be stale.
+        // The versions of the peers are read before that of the service, which may be stale.
         const bool hasView = node.membership->isFresh(clockOf(node)) && !node.membership->view()->nodes.empty();
         if (!isDisabled(Safeguard::StartVersion) && !hasView) {
             return;
@@ -600,7 +600,7 @@
     takeVersion(index, served);
 }
 
-// A node that starts serving must not be behind what a peer that it could have asked has long had in force.
+// A node that starts serving must not have an older version than a peer it could have asked has had for longer than ConfigBound.
 void TestCluster::checkStartVersion(std::size_t index)
 {
     const ExploredNode &node = m_nodes[index];
@@ -684,7 +684,7 @@
     ExploredNode &node = m_nodes[index];
     ++node.active;
     const auto view = node.membership->view();
-    // Nothing is served by a configuration that others have long replaced.
+    // No request may be served with a configuration version that other nodes replaced longer than ConfigBound ago.
     const bool isStable = m_now - m_lastFaultEnd > ConfigBound && m_now >= m_cutUntil;
     for (const auto &[version, acceptedAt] : m_acceptedAt) {
         if (node.isReady && isStable && m_now - acceptedAt > ConfigBound && node.version < version
@@ -779,7 +779,8 @@
     return !isLeaving && (isDisabled(Safeguard::Lease) || node.runners[engine].ownership->mayDispatch(clockOf(node)));
 }
 
-// Dispatches and orders wait until the ownership allows them, or until the request's deadline has passed.
+// Sends the pending orders and dispatches that the ownership allows now. A dispatch that was not allowed before its deadline ends as not
+// run.
 void TestCluster::tryHeld(std::size_t index, std::size_t engine)
 {
     EngineRunner &runner = m_nodes[index].runners[engine];
@@ -809,8 +810,8 @@
     }
 }
 
-// Brings something to an engine over a connection: the node may be paused right after its check, and the engine closes a connection on
-// which nothing arrives for too long.
+// Sends to an engine over a connection. The node may be paused right after its check, and the engine closes connections that are idle for
+// too long.
 void TestCluster::deliverToEngine(
     std::size_t index, std::size_t engine, std::function<void(Engine &)> onArrival, std::function<void()> onLost)
 {
@@ -897,7 +898,7 @@
     const auto finish = [this, index, engine, adapter = evict.adapter](bool isEvicted, bool isUnknown) {
         schedulerEvent(index, engine, EvictFinished { adapter, isEvicted, isUnknown });
     };
-    // An order without answer may still arrive: the adapter stays out of use until it no longer can.
+    // An order without an answer may still arrive, so the adapter is not used until that is no longer possible.
     const auto finishLater = [=, this] { after(DispatchDelay, [=, this] { runOnNode(index, start, [=] { finish(false, true); }); }); };
     deliverToEngine(
         index, engine,
@@ -957,7 +958,7 @@
         if (outcome == Outcome::Served && ran != original.adapter) {
             recordViolation(Invariant::RightAdapter, "asked for " + original.adapter.name() + ", ran on " + ran.name());
         }
-        // An answer that names another attempt belongs to another caller.
+        // An answer with the id of another attempt belongs to another caller.
         if (outcome == Outcome::Served && echoed != original.request && !isDisabled(Safeguard::AttemptId)) {
             outcome = Outcome::Unknown;
         }
@@ -968,7 +969,7 @@
         finish(Outcome::NotRun, 0, {}, false);
         return;
     }
-    // Whether the first byte left is not known of a broken connection, so it counts as sent.
+    // A broken connection does not show whether the first byte was sent, so the request counts as sent.
     const Outcome broken = isDisabled(Safeguard::SentState) ? Outcome::NotRun : Outcome::Unknown;
     deliverToEngine(
         index, engine,
@@ -979,7 +980,8 @@
                 return;
             }
             if (m_now > target.seenLeavingAt + LeavingBound) {
-                recordViolation(Invariant::NoWorkForLeaving, m_nodes[index].id.value() + " sent to " + target.id.value());
+                recordViolation(Invariant::NoWorkForLeaving,
+                    m_nodes[index].id.value() + " sent a request to the leaving upstream " + target.id.value());
             }
             const std::uint64_t run = ++m_order;
             target.running.emplace(run, Running { call.adapter, call.request });
@@ -990,9 +992,9 @@
             after(length, [=, this] {
                 Engine &engineNow = m_engines[engine];
                 if (engineNow.start != engineStart) {
-                    return; // Its restart has told the node.
+                    return; // The node is notified of the broken connection below.
                 }
-                // Now and then an engine mixes answers up: a late one comes on a connection that another attempt has by then.
+                // Sometimes a late answer arrives on a connection that another attempt uses by then.
                 std::uint64_t echoed = call.request;
                 if (chance(0.01) && call.request > 1) {
                     echoed = call.request - 1;
@@ -1038,7 +1040,7 @@
     deliverToEngine(
         index, engine,
         [=, this](Engine &target) {
-            // What it says lags by up to ReportLag.
+            // Reports lag by up to ReportLag.
             const Time of = m_now - Duration(draw(0, ReportLag.milliseconds() - 1));
             Snapshot reported = target.snapshots.front();
             for (const Snapshot &snapshot : target.snapshots) {
@@ -1181,7 +1183,7 @@
         }
         owner.ledgerWaiters.erase(key.counter);
     };
-    // The service cannot be reached, so nothing was sent.
+    // The service is unreachable, so nothing was sent.
     if (chance(0.05)) {
         finish(Outcome::NotRun);
         return;
--- a/tests/fakes/exploration.h
+++ b/tests/fakes/exploration.h
@@ -8,7 +8,7 @@
 namespace Fakes
 {
 
-/** The promises of the brief, in its order. */
+/** The guarantees that every history must keep. */
 enum class Invariant {
     RightAdapter,
     NoEvictionInUse,
@@ -23,30 +23,30 @@
 inline constexpr std::string_view InvariantNames[InvariantCount] = { "right_adapter", "no_eviction_in_use", "own_whole_answer",
     "not_run_is_true", "runs_at_most_once", "no_work_for_leaving", "graceful_shutdown", "configuration_holds" };
 
-/** The guard that a history leaves out, to show that the exploration would notice. */
+/** A safeguard that a history disables, to show that the exploration detects its absence. The comments say what happens without it. */
 enum class Safeguard {
     None,
-    /** The answer's model is compared with nothing, and the version is looked up again at dispatch. */
+    /** The adapter version is resolved again at dispatch, and the model named in the answer is not checked. */
     VersionBinding,
     /** Evictions ignore the settle time and the load report. */
     EvictionWait,
     /** Dispatches ignore the lease. */
     Lease,
-    /** An attempt takes any answer that arrives on its connection. */
+    /** An attempt accepts any answer that arrives on its connection. */
     AttemptId,
     /** A broken connection counts as not sent. */
     SentState,
-    /** Any node runs any key. */
+    /** Any node runs a request with any key. */
     KeyOwner,
-    /** An accepted key is forgotten when its attempt breaks. */
+    /** The ledger is lost when an attempt fails. */
     LedgerMemory,
-    /** The check right before sending ignores that the upstream leaves. */
+    /** The check right before sending ignores that the upstream is leaving. */
     LeavingCheck,
     /** A shutdown waits for a fixed time only. */
     DrainWait,
-    /** Lower configuration versions are taken. */
+    /** Lower configuration versions are accepted. */
     VersionOrder,
-    /** A node that starts does not ask its peers for the highest version. */
+    /** A starting node does not ask its peers for the highest configuration version. */
     StartVersion,
 };
 inline constexpr Safeguard AllSafeguards[] = { Safeguard::VersionBinding, Safeguard::EvictionWait, Safeguard::Lease, Safeguard::AttemptId,
@@ -57,9 +57,9 @@
 struct HistoryResult
 {
     std::uint64_t violations[InvariantCount] = {};
-    /** What went wrong first; empty when nothing did. */
+    /** The first violation; empty if there was none. */
     std::string first;
-    // What the history exercised, so that a run that tests nothing is seen as such.
+    // Events of the history, to detect a run that tests nothing.
     std::uint64_t served = 0;
     std::uint64_t refused = 0;
     std::uint64_t unknown = 0;
@@ -71,7 +71,7 @@
     std::uint64_t total() const;
 };
 
-/** One history of @p nodes nodes, 3 to 5; equal seeds give equal histories. */
+/** Runs one simulated history of 3 to 5 nodes with faults; equal seeds give equal histories. */
 HistoryResult exploreHistory(std::uint64_t seed, int nodes, Safeguard disabled);
 
 } // namespace Fakes
--- a/tests/fakes/fakefleet.h
+++ b/tests/fakes/fakefleet.h
@@ -15,7 +15,7 @@
 namespace Fakes
 {
 
-/** Several memberships under virtual time that exchange datagrams through a queue with loss, delay, duplication and partitions. */
+/** Several Membership instances under virtual time that exchange datagrams with loss, delay, duplication and partitions. */
 class FakeFleet
 {
 public:
@@ -25,7 +25,7 @@
         bool isUp = true;
         ApricotStep::Time pausedUntil;
         std::vector<ApricotStep::Rumour> learned;
-        std::map<std::size_t, ApricotStep::Time> lostAt; // When each other node left this one's view.
+        std::map<std::size_t, ApricotStep::Time> lostAt; // When each other node was removed from this node's view.
     };
 
     explicit FakeFleet(std::uint64_t seed)
@@ -37,14 +37,14 @@
     double duplication = 0;
     int maxDelayMs = 3;
     std::function<bool(std::size_t, std::size_t)> isCut;
-    /** Size of each datagram that is sent; counted when set. */
+    /** Returns the size of a datagram; if set, the sizes of all sent datagrams are added to bytes. */
     std::function<std::size_t(const ApricotStep::MemberDatagram &)> sizeOf;
     std::uint64_t bytes = 0;
     std::uint64_t datagrams = 0;
     std::vector<FakeNode> nodes;
     ApricotStep::VmList list;
 
-    /** Adds a node that the VM list names; it takes part from now on. */
+    /** Adds and starts a node; @p isListed: whether the VM list names it. */
     std::size_t add(const std::string &zone, bool isListed = true)
     {
         const std::size_t index = nodes.size();
@@ -60,7 +60,7 @@
         start(index);
         return index;
     }
-    /** Starts or restarts a node with empty memory. */
+    /** Starts or restarts a node without any state. */
     void start(std::size_t index)
     {
         ApricotStep::MemberUpdate self;
@@ -94,7 +94,7 @@
             }
         }
     }
-    /** Lets time pass in steps of @p tick. */
+    /** Advances the time by @p span in steps of tick. */
     void run(ApricotStep::Duration span, const std::function<void()> &eachTick = {})
     {
         const ApricotStep::Time end = m_now + span;
@@ -109,7 +109,7 @@
             }
         }
     }
-    /** Whether node @p observer lists node @p other among those that live and stay. */
+    /** Whether node @p other is in the view of node @p observer. */
     bool sees(std::size_t observer, std::size_t other) const
     {
         return nodes[observer].membership->view()->node(ApricotStep::NodeId(name(other))) != nullptr;
