--- a/main/entry/requestjob.cpp
+++ b/main/entry/requestjob.cpp
@@ -25,23 +25,23 @@
 // While a request waits for a place, it looks again at least this often.
 constexpr Duration LookAgain { 60 };
 // A resumable stream that is silent for so long goes on at another upstream; callers give up after two seconds or more.
-constexpr Duration LongestSilence { 1200 };
-constexpr Duration SilenceCheck { 300 };
+constexpr Duration MaxStall { 1200 };
+constexpr Duration StallCheckInterval { 300 };
 // Callers leave a stream after a gap, also before its first event, of two seconds, four times the latency objective or eight times the
 // longest pause, whichever is longest; so the users' pages say.
-constexpr Duration LeastPatience { 2000 };
-constexpr int PatienceOfObjective = 4;
-constexpr int PatienceOfPause = 8;
+constexpr Duration MinFirstByteTimeout { 2000 };
+constexpr int FirstByteTimeoutInObjectives = 4;
+constexpr int FirstByteTimeoutInPauses = 8;
 // Below this a request could not be answered any more.
-constexpr Duration LeastUsefulTime { 5 };
+constexpr Duration MinUsefulTime { 5 };
 // When a caller that was refused may come back: a place in a queue later.
 constexpr Duration RetryAfterRefusal { 300 };
 // A prompt that waits for longer than so many fetches before it is read asks for a further copy; shorter waits have ended before one helps.
-constexpr double CrowdedWait = 1.8;
+constexpr double CrowdedWaitInFetches = 1.8;
 // At another node at once: this one is cut off.
-constexpr Duration RetryElsewhere { 50 };
+constexpr Duration RetryAfterIsolated { 50 };
 // From the order for an adapter to the first event, in fetches: its load, a wait behind others' loads, and the reading of a long prompt.
-constexpr double LoadAndAnswer = 2.8;
+constexpr double LoadAndAnswerInFetches = 2.8;
 constexpr int OkStatus = 200;
 constexpr int FirstErrorStatus = 300;
 // Statuses that promise that a request has not run; only this node's own knowledge may give such a promise.
@@ -87,14 +87,14 @@
 
 // How long the caller still waits for the first byte. Callers leave a stream that has not begun long before its deadline: one held beyond
 // that is lost, while one refused in time comes back and is served.
-Duration RequestJob::patienceLeft() const
+Duration RequestJob::firstByteTimeLeft() const
 {
     if (m_route.kind != RequestKind::Stream || m_isStreaming) {
         return timeLeft();
     }
-    const Duration patience =
-        std::max({ LeastPatience, m_route.latencyObjective * PatienceOfObjective, m_route.pauseLimit * PatienceOfPause });
-    return std::min(timeLeft(), m_arrivedAt + patience - now());
+    const Duration firstByteTimeout = std::max(
+        { MinFirstByteTimeout, m_route.latencyObjective * FirstByteTimeoutInObjectives, m_route.pauseLimit * FirstByteTimeoutInPauses });
+    return std::min(timeLeft(), m_arrivedAt + firstByteTimeout - now());
 }
 
 bool RequestJob::isRepeatable() const
@@ -212,7 +212,7 @@
 void RequestJob::tryNext()
 {
     m_phase = Phase::Waiting;
-    if (timeLeft() < LeastUsefulTime) {
+    if (timeLeft() < MinUsefulTime) {
         onDeadline();
         return;
     }
@@ -224,15 +224,15 @@
     const UpstreamOption *chosen = m_decoded.generation ? chooseEngine(found, promptTokens(), figures, m_context.random())
                                                         : chooseService(found, figures, m_context.random());
     if (chosen != nullptr) {
-        if (needsAdapter() && expectedTimeToFirstToken(*chosen, 0, figures) > fetches(CrowdedWait)) {
+        if (needsAdapter() && expectedTimeToFirstToken(*chosen, 0, figures) > fetchTime(CrowdedWaitInFetches)) {
             m_context.noteCrowded(adapter());
         }
         send(*chosen->record);
         return;
     }
     if (canStillServe()) {
-        if (const auto comeBackIn = hopelessFor()) {
-            refuse(ErrorKind::NoUpstream, *comeBackIn);
+        if (const auto retryDelay = retryDelayIfTooLate()) {
+            refuse(ErrorKind::NoUpstream, *retryDelay);
         } else {
             wait();
         }
@@ -241,7 +241,7 @@
     giveUp(m_outcome == Outcome::NotRun ? ErrorKind::NoUpstream : ErrorKind::UpstreamFailed);
 }
 
-Duration RequestJob::fetches(double count) const
+Duration RequestJob::fetchTime(double count) const
 {
     const auto one = static_cast<double>(m_context.clusterState().loadEstimator.minFetchTime().milliseconds());
     return Duration(static_cast<std::int64_t>(count * one));
@@ -249,13 +249,13 @@
 
 // When waiting for an adapter cannot end in time: how long the caller had better stay away. Without this, requests at a node that is cut
 // off from those who order loads, or right after a restart of the whole fleet, are held until their callers leave, and nobody is told.
-std::optional<Duration> RequestJob::hopelessFor() const
+std::optional<Duration> RequestJob::retryDelayIfTooLate() const
 {
     const auto ordersIn = m_context.callbacks().ordersIn();
     if (!ordersIn) {
-        return RetryElsewhere;
+        return RetryAfterIsolated;
     }
-    if (*ordersIn + fetches(LoadAndAnswer) < patienceLeft()) {
+    if (*ordersIn + fetchTime(LoadAndAnswerInFetches) < firstByteTimeLeft()) {
         return std::nullopt;
     }
     return *ordersIn + RetryAfterRefusal;
@@ -361,7 +361,7 @@
 {
     const UpstreamRecord *record = m_context.clusterState().upstreams.usable(m_upstream.id);
     const Duration left = m_deadline - m_context.loop().clock().now();
-    return m_phase == Phase::Sent && left >= LeastUsefulTime && record != nullptr && record->startedAt == m_upstream.startedAt;
+    return m_phase == Phase::Sent && left >= MinUsefulTime && record != nullptr && record->startedAt == m_upstream.startedAt;
 }
 
 bool RequestJob::acceptsHead(int status, const HttpHeaders &headers)
@@ -384,7 +384,7 @@
         return;
     }
     m_phase = Phase::Answering;
-    m_heardAt = now();
+    m_lastReceivedAt = now();
     if (m_route.kind != RequestKind::Stream || !isSuccess(m_answer->status)) {
         return;
     }
@@ -398,12 +398,12 @@
         m_context.log().write(Step, "request", "streaming",
             { { "request", m_decoded.id }, { "upstream", m_upstream.id.value() }, { "afterMs", (now() - m_arrivedAt).milliseconds() } });
     }
-    watchSilence();
+    watchForStall();
 }
 
 bool RequestJob::onData(std::string_view data)
 {
-    m_heardAt = now();
+    m_lastReceivedAt = now();
     if (m_phase != Phase::Answering) {
         return true;
     }
@@ -422,33 +422,33 @@
 void RequestJob::onDrained()
 {
     if (std::exchange(m_isPaused, false)) {
-        m_heardAt = now();
+        m_lastReceivedAt = now();
         m_context.loop().client().resume(m_call);
     }
 }
 
-void RequestJob::watchSilence()
+void RequestJob::watchForStall()
 {
     if (!isRepeatable()) {
         return; // A silent upstream may still come back, and nothing else can take its place.
     }
-    m_context.loop().cancel(m_silenceTimer);
-    m_silenceTimer = m_context.loop().after(SilenceCheck, [weak = weak_from_this()] {
+    m_context.loop().cancel(m_stallTimer);
+    m_stallTimer = m_context.loop().after(StallCheckInterval, [weak = weak_from_this()] {
         const auto self = weak.lock();
         if (self == nullptr || self->m_phase != Phase::Answering) {
             return;
         }
-        if (!self->m_isPaused && self->now() - self->m_heardAt > LongestSilence) {
+        if (!self->m_isPaused && self->now() - self->m_lastReceivedAt > MaxStall) {
             self->m_context.loop().client().cancel(self->m_call);
             return; // onDone() goes on from here.
         }
-        self->watchSilence();
+        self->watchForStall();
     });
 }
 
 void RequestJob::endAttempt()
 {
-    m_context.loop().cancel(m_silenceTimer);
+    m_context.loop().cancel(m_stallTimer);
     m_context.clusterState().loadTracker.onEnded(m_upstream.id, m_isUnread ? promptTokens() : 0);
     m_call = 0;
 }
@@ -627,7 +627,7 @@
 {
     m_context.log().write(Important, "request", "stream_cut",
         { { "request", m_decoded.id }, { "upstream", m_upstream.id.value() }, { "lastEvent", m_events.lastId() },
-            { "silentMs", (now() - m_heardAt).milliseconds() }, { "paused", m_isPaused } });
+            { "silentMs", (now() - m_lastReceivedAt).milliseconds() }, { "paused", m_isPaused } });
     m_exchange->abort();
     end(RequestOutcome::BrokenOff, reason);
 }
@@ -656,7 +656,7 @@
     m_phase = Phase::Ended;
     m_context.loop().cancel(m_deadlineTimer);
     m_context.loop().cancel(m_waitTimer);
-    m_context.loop().cancel(m_silenceTimer);
+    m_context.loop().cancel(m_stallTimer);
     m_context.log().write(reason.empty() ? Step : Important, "request", outcomeWord(outcome),
         { { "request", m_decoded.id }, { "reason", reason }, { "arrivals", std::int64_t(m_arrivals) },
             { "tookMs", (now() - m_arrivedAt).milliseconds() } });
--- a/main/entry/requestjob.h
+++ b/main/entry/requestjob.h
@@ -68,7 +68,7 @@
 
     Time now() const;
     Duration timeLeft() const;
-    Duration patienceLeft() const;
+    Duration firstByteTimeLeft() const;
     bool isRepeatable() const;
     bool needsAdapter() const;
     AdapterRef adapter() const;
@@ -79,10 +79,10 @@
     std::vector<UpstreamOption> options();
     AdapterUse waitingUse() const;
     /** The time that so many fetches of an adapter take, as observed. */
-    Duration fetches(double count) const;
+    Duration fetchTime(double count) const;
     bool mayUse(const UpstreamRecord &record);
     bool canStillServe() const;
-    std::optional<Duration> hopelessFor() const;
+    std::optional<Duration> retryDelayIfTooLate() const;
     void send(const UpstreamRecord &record);
     HttpCall makeCall(const UpstreamRecord &record);
     bool maySend() const;
@@ -107,7 +107,7 @@
     void onDeadline();
     void onCallerGone();
     void onDrained();
-    void watchSilence();
+    void watchForStall();
     void end(RequestOutcome outcome, const std::string &reason);
 
     RequestContext &m_context;
@@ -132,7 +132,7 @@
     std::set<UpstreamId> m_tried;
     TimerId m_deadlineTimer = 0;
     TimerId m_waitTimer = 0;
-    TimerId m_silenceTimer = 0;
+    TimerId m_stallTimer = 0;
 
     // The attempt in progress.
     CallId m_call = 0;
@@ -142,7 +142,7 @@
     std::string m_body;
     bool m_isUnread = false;
     Time m_sentAt;
-    Time m_heardAt;
+    Time m_lastReceivedAt;
 
     // Of a stream that goes to the caller.
     bool m_isStreaming = false;
