--- a/main/entry/requestforwarder.cpp
+++ b/main/entry/requestforwarder.cpp
@@ -18,7 +18,7 @@
 // A node that does not know a configuration yet will know one within a few round trips.
 constexpr Duration RetryAfterStart { 300 };
 // How long a sight of crowded copies counts: two messages to the others.
-constexpr Duration CrowdedMemory { 500 };
+constexpr Duration CrowdedLifetime { 500 };
 // What this node may take of the fleet's allowance: others may count fewer nodes than there are.
 constexpr double ShareOfAllowance = 0.6;
 
@@ -37,7 +37,7 @@
     std::uint64_t lastJob = 0;
     std::map<ServiceName, RetryBudget> budgets;
     /** Adapters whose copies are crowded, and since when that was last seen. */
-    std::map<AdapterRef, Time> crowded;
+    std::map<AdapterRef, Time> crowdedAdapters;
 
     Private(IoLoop &loop, EventLog &log, EntryMetrics &metrics, ClusterState &clusterState, ForwarderSettings settings,
         ForwarderCallbacks callbacks)
@@ -81,8 +81,8 @@
     RetryBudgetLimits budgetLimits() const;
     RetryBudget &budget(const ServiceName &service);
     bool takeRetry(const ServiceName &service) override;
-    void noteFirstArrival(const ServiceName &service) override;
-    void noteCrowded(const AdapterRef &adapter) override;
+    void reportFirstArrival(const ServiceName &service) override;
+    void reportCrowded(const AdapterRef &adapter) override;
     void onEnded(std::uint64_t job) override;
 
     void refuse(HttpExchange &exchange, const std::string &id, ErrorKind kind, const std::string &detail);
@@ -116,14 +116,14 @@
     return budget(service).take(m_loop.now());
 }
 
-void RequestForwarder::Private::noteFirstArrival(const ServiceName &service)
+void RequestForwarder::Private::reportFirstArrival(const ServiceName &service)
 {
     budget(service).onSuccess(m_loop.now());
 }
 
-void RequestForwarder::Private::noteCrowded(const AdapterRef &adapter)
+void RequestForwarder::Private::reportCrowded(const AdapterRef &adapter)
 {
-    crowded[adapter] = m_loop.now();
+    crowdedAdapters[adapter] = m_loop.now();
 }
 
 void RequestForwarder::Private::onEnded(std::uint64_t job)
@@ -194,7 +194,7 @@
         current.push_back(job);
     }
     for (const auto &job : current) {
-        job->lookAgain();
+        job->retryPlacement();
     }
 }
 
@@ -202,13 +202,13 @@
 {
     std::vector<AdapterUse> result;
     for (const auto &[number, job] : d->jobs) {
-        if (const auto use = job->use()) {
-            addUse(result, *use);
+        if (const auto adapterUse = job->adapterUse()) {
+            addUse(result, *adapterUse);
         }
     }
     const Time now = d->m_loop.now();
-    std::erase_if(d->crowded, [now](const auto &entry) { return now - entry.second > CrowdedMemory; });
-    for (const auto &[adapter, since] : d->crowded) {
+    std::erase_if(d->crowdedAdapters, [now](const auto &entry) { return now - entry.second > CrowdedLifetime; });
+    for (const auto &[adapter, since] : d->crowdedAdapters) {
         result.push_back(AdapterUse { adapter.model, adapter.adapter, UpstreamId(), 0, true });
     }
     return result;
@@ -218,8 +218,8 @@
 {
     std::vector<AdapterUse> result;
     for (const auto &[number, job] : d->jobs) {
-        if (const auto want = job->want()) {
-            addUse(result, *want);
+        if (const auto pendingAdapter = job->pendingAdapter()) {
+            addUse(result, *pendingAdapter);
         }
     }
     return result;
--- a/main/entry/requestjob.cpp
+++ b/main/entry/requestjob.cpp
@@ -23,7 +23,7 @@
 constexpr Duration MaxConnectionIdle = Duration::seconds(15);
 constexpr Duration MaxConnectionIdleOnce = Duration::seconds(4);
 // While a request waits for a place, it looks again at least this often.
-constexpr Duration LookAgain { 60 };
+constexpr Duration PlacementRetryInterval { 60 };
 // A resumable stream that is silent for so long goes on at another upstream; callers give up after two seconds or more.
 constexpr Duration MaxStall { 1200 };
 constexpr Duration StallCheckInterval { 300 };
@@ -140,33 +140,34 @@
     tryNext();
 }
 
-std::optional<AdapterUse> RequestJob::use()
+std::optional<AdapterUse> RequestJob::adapterUse()
 {
     if (!needsAdapter() || m_phase == Phase::Ended) {
         return std::nullopt;
     }
-    AdapterUse use = m_phase == Phase::Waiting ? waitingUse() : AdapterUse { adapter().model, adapter().adapter, m_upstream.id };
-    use.count = std::exchange(m_isCounted, true) ? 0 : 1;
-    return use;
+    AdapterUse adapterUse =
+        m_phase == Phase::Waiting ? waitingAdapterUse() : AdapterUse { adapter().model, adapter().adapter, m_upstream.id };
+    adapterUse.count = std::exchange(m_isCounted, true) ? 0 : 1;
+    return adapterUse;
 }
 
-std::optional<AdapterUse> RequestJob::want() const
+std::optional<AdapterUse> RequestJob::pendingAdapter() const
 {
     if (!needsAdapter() || m_phase != Phase::Waiting) {
         return std::nullopt;
     }
-    return waitingUse();
+    return waitingAdapterUse();
 }
 
-AdapterUse RequestJob::waitingUse() const
+AdapterUse RequestJob::waitingAdapterUse() const
 {
-    AdapterUse use { adapter().model, adapter().adapter };
-    use.waiting = 1;
-    use.latencySlack = m_arrivedAt + m_route.latencyObjective - now();
-    return use;
+    AdapterUse adapterUse { adapter().model, adapter().adapter };
+    adapterUse.waiting = 1;
+    adapterUse.latencySlack = m_arrivedAt + m_route.latencyObjective - now();
+    return adapterUse;
 }
 
-bool RequestJob::mayUse(const UpstreamRecord &record)
+bool RequestJob::isUsable(const UpstreamRecord &record)
 {
     if (m_tried.contains(record.id)) {
         return false;
@@ -194,7 +195,7 @@
     std::vector<UpstreamOption> result;
     ClusterState &clusterState = m_context.clusterState();
     for (const UpstreamRecord *record : m_decoded.generation ? clusterState.engines(m_service) : clusterState.upstreams.usable(m_service)) {
-        if (mayUse(*record)) {
+        if (isUsable(*record)) {
             result.push_back(UpstreamOption { record, clusterState.loadTracker.load(record->id, now()),
                 clusterState.outliers.share(record->id, now()), record->zone == m_context.settings().zone });
         }
@@ -203,7 +204,7 @@
 }
 
 // Whether waiting can help: an adapter may come to stand somewhere.
-bool RequestJob::canStillServe() const
+bool RequestJob::canWaitForAdapter() const
 {
     return needsAdapter() && !m_context.clusterState().upstreams.usable(m_service).empty()
         && m_context.clusterState().engineSpec(m_service) != nullptr;
@@ -216,21 +217,21 @@
         onDeadline();
         return;
     }
-    auto found = options();
+    auto candidates = options();
     if (m_decoded.generation) {
-        creditSharedPrefix(found, m_decoded.generation->sharedPrefix, m_decoded.generation->sharedTokens);
+        creditSharedPrefix(candidates, m_decoded.generation->sharedPrefix, m_decoded.generation->sharedTokens);
     }
-    const ChoiceParameters figures;
-    const UpstreamOption *chosen = m_decoded.generation ? chooseEngine(found, promptTokens(), figures, m_context.random())
-                                                        : chooseService(found, figures, m_context.random());
+    const ChoiceParameters parameters;
+    const UpstreamOption *chosen = m_decoded.generation ? chooseEngine(candidates, promptTokens(), parameters, m_context.random())
+                                                        : chooseService(candidates, parameters, m_context.random());
     if (chosen != nullptr) {
-        if (needsAdapter() && expectedTimeToFirstToken(*chosen, 0, figures) > fetchTime(CrowdedWaitInFetches)) {
-            m_context.noteCrowded(adapter());
+        if (needsAdapter() && expectedTimeToFirstToken(*chosen, 0, parameters) > fetchTime(CrowdedWaitInFetches)) {
+            m_context.reportCrowded(adapter());
         }
         send(*chosen->record);
         return;
     }
-    if (canStillServe()) {
+    if (canWaitForAdapter()) {
         if (const auto retryDelay = retryDelayIfTooLate()) {
             refuse(ErrorKind::NoUpstream, *retryDelay);
         } else {
@@ -273,14 +274,14 @@
     m_tried.clear();
     m_context.callbacks().onPendingAdapters();
     m_context.loop().cancel(m_waitTimer);
-    m_waitTimer = m_context.loop().after(LookAgain, [weak = weak_from_this()] {
+    m_waitTimer = m_context.loop().after(PlacementRetryInterval, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
-            self->lookAgain();
+            self->retryPlacement();
         }
     });
 }
 
-void RequestJob::lookAgain()
+void RequestJob::retryPlacement()
 {
     if (m_phase == Phase::Waiting) {
         tryNext();
@@ -471,7 +472,7 @@
     }
     endAttempt();
     if (result.state != AttemptState::NotSent && m_arrivals++ == 0) {
-        m_context.noteFirstArrival(m_service);
+        m_context.reportFirstArrival(m_service);
     }
     switch (result.state) {
     case AttemptState::NotSent:
--- a/main/entry/requestjob.h
+++ b/main/entry/requestjob.h
@@ -29,9 +29,9 @@
     /** Takes one arrival beyond the first out of the service's budget; false when none is left. */
     virtual bool takeRetry(const ServiceName &service) = 0;
     /** Requests for this adapter wait long at all its copies. */
-    virtual void noteCrowded(const AdapterRef &adapter) = 0;
+    virtual void reportCrowded(const AdapterRef &adapter) = 0;
     /** A request reached its service for the first time. */
-    virtual void noteFirstArrival(const ServiceName &service) = 0;
+    virtual void reportFirstArrival(const ServiceName &service) = 0;
     virtual void onEnded(std::uint64_t job) = 0;
 };
 
@@ -44,11 +44,11 @@
 
     void start();
     /** Looks for an upstream again; only does something while the job waits for one. */
-    void lookAgain();
+    void retryPlacement();
     /** What this job runs on or waits for; empty when it needs no adapter. */
-    std::optional<AdapterUse> use();
+    std::optional<AdapterUse> adapterUse();
     /** The adapter that this job waits for, if it does. */
-    std::optional<AdapterUse> want() const;
+    std::optional<AdapterUse> pendingAdapter() const;
 
 private:
     enum class Phase {
@@ -77,11 +77,11 @@
     void tryNext();
     void wait();
     std::vector<UpstreamOption> options();
-    AdapterUse waitingUse() const;
+    AdapterUse waitingAdapterUse() const;
     /** The time that so many fetches of an adapter take, as observed. */
     Duration fetchTime(double count) const;
-    bool mayUse(const UpstreamRecord &record);
-    bool canStillServe() const;
+    bool isUsable(const UpstreamRecord &record);
+    bool canWaitForAdapter() const;
     std::optional<Duration> retryDelayIfTooLate() const;
     void send(const UpstreamRecord &record);
     HttpCall makeCall(const UpstreamRecord &record);
