--- a/main/entry/requestforwarder.cpp
+++ b/main/entry/requestforwarder.cpp
@@ -16,11 +16,11 @@
 {
 
 // A node that does not know a configuration yet will know one within a few round trips.
-constexpr Duration RetryAfterStart { 300 };
+constexpr Duration RetryAfterNotReady { 300 };
 // How long a sight of crowded copies counts: two messages to the others.
 constexpr Duration CrowdedLifetime { 500 };
 // What this node may take of the fleet's allowance: others may count fewer nodes than there are.
-constexpr double ShareOfAllowance = 0.6;
+constexpr double BudgetSafetyFactor = 0.6;
 
 } // namespace
 
@@ -29,7 +29,7 @@
     IoLoop &m_loop;
     EventLog &m_log;
     EntryMetrics &m_metrics;
-    ClusterState &m_beliefs;
+    ClusterState &m_clusterState;
     ForwarderSettings m_settings;
     ForwarderCallbacks m_callbacks;
     std::mt19937_64 m_random { std::random_device {}() };
@@ -44,7 +44,7 @@
         : m_loop(loop)
         , m_log(log)
         , m_metrics(metrics)
-        , m_beliefs(clusterState)
+        , m_clusterState(clusterState)
         , m_settings(std::move(settings))
         , m_callbacks(std::move(callbacks))
     {
@@ -64,7 +64,7 @@
     }
     ClusterState &clusterState() override
     {
-        return m_beliefs;
+        return m_clusterState;
     }
     const ForwarderSettings &settings() const override
     {
@@ -94,8 +94,8 @@
 {
     const double nodes = std::max(m_callbacks.nodeCount(), 1);
     RetryBudgetLimits limits;
-    limits.share = m_settings.retryShare * ShareOfAllowance;
-    limits.reserve = std::max(m_settings.retryReserve * ShareOfAllowance / nodes, 1.0);
+    limits.share = m_settings.retryShare * BudgetSafetyFactor;
+    limits.reserve = std::max(m_settings.retryReserve * BudgetSafetyFactor / nodes, 1.0);
     limits.minRetriesPerSecond = limits.reserve / m_settings.retryWindow.toSeconds() / 2;
     return limits;
 }
@@ -139,7 +139,7 @@
 void RequestForwarder::Private::refuse(HttpExchange &exchange, const std::string &id, ErrorKind kind, const std::string &detail)
 {
     const ErrorAnswer &answer = errorAnswer(kind);
-    const Duration retryAfter = answer.retry != RetryAdvice::Never ? RetryAfterStart : Duration(0);
+    const Duration retryAfter = answer.retry != RetryAdvice::Never ? RetryAfterNotReady : Duration(0);
     ApricotStep::refuse(exchange, kind, { retryAfter, m_callbacks.isLeaving() });
     m_log.write(EventLog::Severity::Important, "request", "refused",
         { { "request", id }, { "reason", std::string(answer.word) }, { "detail", detail } });
@@ -156,7 +156,7 @@
 void RequestForwarder::onRequest(HttpRequest request, std::shared_ptr<HttpExchange> exchange)
 {
     Platform::CallerRequest decoded = Platform::decodeCallerRequest(request);
-    const auto table = d->m_beliefs.routes;
+    const auto table = d->m_clusterState.routes;
     if (table == nullptr) {
         d->refuse(*exchange, decoded.id, ErrorKind::NotReady, "no configuration is known");
         return;
--- a/main/entry/requestjob.cpp
+++ b/main/entry/requestjob.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr EventLog::Severity Step = EventLog::Severity::Routine;
+constexpr EventLog::Severity RequestStep = EventLog::Severity::Routine;
 constexpr EventLog::Severity Important = EventLog::Severity::Important;
 
 constexpr Duration ConnectTimeout { 400 };
@@ -21,7 +21,7 @@
 // Upstreams close idle connections after some seconds. A request that meets such a close on its way fails; where it may not run twice it
 // cannot be sent again, so it only takes connections that were in use lately.
 constexpr Duration MaxConnectionIdle = Duration::seconds(15);
-constexpr Duration MaxConnectionIdleOnce = Duration::seconds(4);
+constexpr Duration MaxConnectionIdleNonIdempotent = Duration::seconds(4);
 // While a request waits for a place, it looks again at least this often.
 constexpr Duration PlacementRetryInterval { 60 };
 // A resumable stream that is silent for so long goes on at another upstream; callers give up after two seconds or more.
@@ -45,16 +45,16 @@
 constexpr int OkStatus = 200;
 constexpr int FirstErrorStatus = 300;
 // Statuses that promise that a request has not run; only this node's own knowledge may give such a promise.
-constexpr int PromisingStatuses[] = { 408, 421, 429, 503 };
+constexpr int NotRunStatuses[] = { 408, 421, 429, 503 };
 
 bool isSuccess(int status)
 {
     return status >= OkStatus && status < FirstErrorStatus;
 }
 
-bool isPromise(int status)
+bool impliesNotRun(int status)
 {
-    return std::find(std::begin(PromisingStatuses), std::end(PromisingStatuses), status) != std::end(PromisingStatuses);
+    return std::find(std::begin(NotRunStatuses), std::end(NotRunStatuses), status) != std::end(NotRunStatuses);
 }
 
 } // namespace
@@ -134,7 +134,7 @@
             self->onDeadline();
         }
     });
-    m_context.log().write(Step, "request", "arrived",
+    m_context.log().write(RequestStep, "request", "arrived",
         { { "request", m_decoded.id }, { "route", m_route.name }, { "configVersion", std::int64_t(m_table->version().value()) },
             { "service", m_service.value() }, { "adapter", adapter().adapter.value() }, { "leftMs", timeLeft().milliseconds() } });
     tryNext();
@@ -169,7 +169,7 @@
 
 bool RequestJob::isUsable(const UpstreamRecord &record)
 {
-    if (m_tried.contains(record.id)) {
+    if (m_excluded.contains(record.id)) {
         return false;
     }
     if (!m_decoded.generation) {
@@ -239,7 +239,7 @@
         }
         return;
     }
-    giveUp(m_outcome == Outcome::NotRun ? ErrorKind::NoUpstream : ErrorKind::UpstreamFailed);
+    giveUp(m_executionState == ExecutionState::NotRun ? ErrorKind::NoUpstream : ErrorKind::UpstreamFailed);
 }
 
 Duration RequestJob::fetchTime(double count) const
@@ -266,12 +266,12 @@
 {
     if (!std::exchange(m_hasWaited, true)) {
         const auto ordersIn = m_context.callbacks().ordersIn();
-        m_context.log().write(Step, "request", "waiting",
+        m_context.log().write(RequestStep, "request", "waiting",
             { { "request", m_decoded.id }, { "adapter", adapter().adapter.value() },
                 { "ordersInMs", ordersIn ? ordersIn->milliseconds() : -1 }, { "leftMs", timeLeft().milliseconds() } });
     }
     // Engines that refused before may take it now.
-    m_tried.clear();
+    m_excluded.clear();
     m_context.callbacks().onPendingAdapters();
     m_context.loop().cancel(m_waitTimer);
     m_waitTimer = m_context.loop().after(PlacementRetryInterval, [weak = weak_from_this()] {
@@ -291,9 +291,9 @@
 void RequestJob::send(const UpstreamRecord &record)
 {
     m_context.loop().cancel(m_waitTimer);
-    if (m_arrivals > 0 && !m_context.takeRetry(m_service)) {
+    if (m_attemptsReceived > 0 && !m_context.takeRetry(m_service)) {
         m_context.log().write(Important, "request", "no_retry_budget", { { "request", m_decoded.id }, { "service", m_service.value() } });
-        giveUp(m_outcome == Outcome::NotRun ? ErrorKind::Overloaded : ErrorKind::UpstreamFailed);
+        giveUp(m_executionState == ExecutionState::NotRun ? ErrorKind::Overloaded : ErrorKind::UpstreamFailed);
         return;
     }
     m_phase = Phase::Sent;
@@ -306,13 +306,13 @@
     m_answer.reset();
     m_body.clear();
     m_sentAt = now();
-    m_isUnread = true;
+    m_isPromptPending = true;
     m_context.clusterState().loadTracker.onSent(record.id, promptTokens());
-    m_context.log().write(Step, "request", "sent",
-        { { "request", m_decoded.id }, { "upstream", record.id.value() }, { "arrival", std::int64_t(m_arrivals + 1) },
+    m_context.log().write(RequestStep, "request", "sent",
+        { { "request", m_decoded.id }, { "upstream", record.id.value() }, { "arrival", std::int64_t(m_attemptsReceived + 1) },
             { "version", m_version.value() }, { "leftMs", timeLeft().milliseconds() },
             { "waitedMs", (now() - m_arrivedAt).milliseconds() } });
-    m_context.metrics().sent(m_route.kind, now() - m_arrivedAt, m_arrivals > 0);
+    m_context.metrics().sent(m_route.kind, now() - m_arrivedAt, m_attemptsReceived > 0);
     m_call = m_context.loop().client().start(makeCall(record));
 }
 
@@ -323,13 +323,13 @@
     call.url = "http://" + record.address + "/";
     call.target = m_request.target;
     call.body = m_request.body;
-    constexpr int MostPriority = 9;
-    Platform::UpstreamBinding binding { record.id, m_version, std::max(timeLeft(), Duration(1)), std::min(m_route.priority, MostPriority),
+    constexpr int MaxPriority = 9;
+    Platform::UpstreamBinding binding { record.id, m_version, std::max(timeLeft(), Duration(1)), std::min(m_route.priority, MaxPriority),
         m_isStreaming ? m_events.lastId() : std::string() };
     call.headers = Platform::upstreamHeaders(m_request, binding);
     call.connectTimeout = std::min(ConnectTimeout, std::max(timeLeft(), Duration(1)));
     call.acknowledgeTimeout = AcknowledgeTimeout;
-    call.maxConnectionIdle = m_route.kind == RequestKind::NonIdempotent ? MaxConnectionIdleOnce : MaxConnectionIdle;
+    call.maxConnectionIdle = m_route.kind == RequestKind::NonIdempotent ? MaxConnectionIdleNonIdempotent : MaxConnectionIdle;
     call.isSentOnce = true;
     const auto weak = weak_from_this();
     call.maySend = [weak] {
@@ -368,8 +368,8 @@
 bool RequestJob::acceptsHead(int status, const HttpHeaders &headers)
 {
     Platform::UpstreamAnswer answer = Platform::decodeUpstreamAnswer(status, headers);
-    const bool isOwn = answer.requestId == m_decoded.id || (answer.requestId.empty() && answer.isNotRun);
-    if (!isOwn || answer.isEncoded || (isSuccess(status) && !answer.isSealed)) {
+    const bool isAnswerToThis = answer.requestId == m_decoded.id || (answer.requestId.empty() && answer.isNotRun);
+    if (!isAnswerToThis || answer.isEncoded || (isSuccess(status) && !answer.isSealed)) {
         m_context.log().write(Important, "request", "foreign_answer",
             { { "request", m_decoded.id }, { "upstream", m_upstream.id.value() }, { "answered", answer.requestId },
                 { "status", std::int64_t(status) } });
@@ -389,14 +389,14 @@
     if (m_route.kind != RequestKind::Stream || !isSuccess(m_answer->status)) {
         return;
     }
-    if (std::exchange(m_isUnread, false)) {
+    if (std::exchange(m_isPromptPending, false)) {
         m_context.clusterState().loadTracker.onFirstToken(m_upstream.id, promptTokens());
     }
     if (!m_isStreaming) {
         m_isStreaming = true;
         m_context.metrics().answerBegan(m_route.kind, now() - m_arrivedAt);
         m_exchange->beginStream(m_answer->status, withConnection(m_answer->callerHeaders, m_context.callbacks().isLeaving()));
-        m_context.log().write(Step, "request", "streaming",
+        m_context.log().write(RequestStep, "request", "streaming",
             { { "request", m_decoded.id }, { "upstream", m_upstream.id.value() }, { "afterMs", (now() - m_arrivedAt).milliseconds() } });
     }
     watchForStall();
@@ -450,11 +450,11 @@
 void RequestJob::endAttempt()
 {
     m_context.loop().cancel(m_stallTimer);
-    m_context.clusterState().loadTracker.onEnded(m_upstream.id, m_isUnread ? promptTokens() : 0);
+    m_context.clusterState().loadTracker.onEnded(m_upstream.id, m_isPromptPending ? promptTokens() : 0);
     m_call = 0;
 }
 
-bool RequestJob::abandonAttempt()
+bool RequestJob::cancelAttempt()
 {
     if (m_phase != Phase::Sent && m_phase != Phase::Answering) {
         return false;
@@ -471,21 +471,21 @@
         return;
     }
     endAttempt();
-    if (result.state != AttemptState::NotSent && m_arrivals++ == 0) {
+    if (result.state != AttemptState::NotSent && m_attemptsReceived++ == 0) {
         m_context.reportFirstArrival(m_service);
     }
     switch (result.state) {
     case AttemptState::NotSent:
-        m_tried.insert(m_upstream.id);
+        m_excluded.insert(m_upstream.id);
         if (result.error != ErrorKind::DeadlinePassed) {
             m_context.clusterState().outliers.onUnreachable(m_upstream.id, now());
         }
-        m_context.log().write(Step, "request", "not_sent",
+        m_context.log().write(RequestStep, "request", "not_sent",
             { { "request", m_decoded.id }, { "upstream", m_upstream.id.value() }, { "reason", result.detail } });
         tryNext();
         break;
     case AttemptState::Sent:
-        onBroken(result);
+        onIncompleteAnswer(result);
         break;
     case AttemptState::Answered:
         onAnswered();
@@ -496,15 +496,15 @@
 void RequestJob::onAnswered()
 {
     if (!m_answer) {
-        onBroken(CallResult { AttemptState::Sent, 0, ErrorKind::UpstreamFailed, "an answer without a head" });
+        onIncompleteAnswer(CallResult { AttemptState::Sent, 0, ErrorKind::UpstreamFailed, "an answer without a head" });
         return;
     }
     if (m_answer->isNotRun) {
         onNotRun();
         return;
     }
-    ++m_runs;
-    m_outcome = Outcome::MayHaveRun;
+    ++m_possibleRuns;
+    m_executionState = ExecutionState::MayHaveRun;
     if (!isSuccess(m_answer->status)) {
         onServerFailure();
         return;
@@ -526,12 +526,12 @@
 {
     constexpr int MisdirectedStatus = 421;
     m_context.metrics().upstreamFailed("not_run");
-    m_context.log().write(Step, "request", "not_run",
+    m_context.log().write(RequestStep, "request", "not_run",
         { { "request", m_decoded.id }, { "upstream", m_upstream.id.value() }, { "status", std::int64_t(m_answer->status) } });
     if (m_answer->status == MisdirectedStatus && needsAdapter()) {
         m_context.clusterState().residencies.markMissing(m_upstream.id, adapter());
     }
-    m_tried.insert(m_upstream.id);
+    m_excluded.insert(m_upstream.id);
     tryNext();
 }
 
@@ -542,7 +542,7 @@
     m_context.log().write(Important, "request", "upstream_failed",
         { { "request", m_decoded.id }, { "upstream", m_upstream.id.value() }, { "status", std::int64_t(m_answer->status) } });
     if (m_isStreaming) {
-        onStreamBroken();
+        onStreamInterrupted();
         return;
     }
     m_failure = m_answer;
@@ -550,37 +550,37 @@
     retryOrGiveUp(ErrorKind::UpstreamFailed);
 }
 
-void RequestJob::onBroken(const CallResult &result)
+void RequestJob::onIncompleteAnswer(const CallResult &result)
 {
     m_context.metrics().upstreamFailed("broken");
-    ++m_runs;
-    m_outcome = Outcome::MayHaveRun;
+    ++m_possibleRuns;
+    m_executionState = ExecutionState::MayHaveRun;
     m_context.clusterState().outliers.onFailure(m_upstream.id, now());
     m_context.log().write(Important, "request", "broken",
         { { "request", m_decoded.id }, { "upstream", m_upstream.id.value() }, { "reason", result.detail },
             { "afterMs", (now() - m_sentAt).milliseconds() } });
     if (m_isStreaming) {
-        onStreamBroken();
+        onStreamInterrupted();
         return;
     }
     retryOrGiveUp(result.error == ErrorKind::UpstreamTimeout ? ErrorKind::UpstreamTimeout : ErrorKind::UpstreamFailed);
 }
 
-void RequestJob::onStreamBroken()
+void RequestJob::onStreamInterrupted()
 {
     m_events.dropRest();
-    if (!m_route.isResumable || m_runs >= m_route.maxAttempts) {
-        breakOff("the upstream broke off");
+    if (!m_route.isResumable || m_possibleRuns >= m_route.maxAttempts) {
+        abortStream("the upstream broke off");
         return;
     }
-    m_tried.insert(m_upstream.id);
+    m_excluded.insert(m_upstream.id);
     tryNext();
 }
 
 void RequestJob::retryOrGiveUp(ErrorKind kind)
 {
-    m_tried.insert(m_upstream.id);
-    if (isRepeatable() && m_runs < m_route.maxAttempts) {
+    m_excluded.insert(m_upstream.id);
+    if (isRepeatable() && m_possibleRuns < m_route.maxAttempts) {
         tryNext();
         return;
     }
@@ -590,7 +590,7 @@
 void RequestJob::deliver(const Platform::UpstreamAnswer &answer, std::string body)
 {
     // An upstream's own refusal without its word that nothing ran must not reach the caller as a promise of ours.
-    if (isPromise(answer.status)) {
+    if (impliesNotRun(answer.status)) {
         refuse(ErrorKind::UpstreamFailed, RetryAfterRefusal);
         return;
     }
@@ -613,18 +613,18 @@
 void RequestJob::refuse(ErrorKind kind, Duration retryAfter)
 {
     if (m_isStreaming) {
-        breakOff(std::string(errorAnswer(kind).word));
+        abortStream(std::string(errorAnswer(kind).word));
         return;
     }
     // Wherever a job gives up: what an upstream may have begun is never promised as not run, or the caller runs it a second time.
-    const bool isFalsePromise = m_outcome == Outcome::MayHaveRun && errorAnswer(kind).runState == RunState::NotRun;
-    const ErrorKind told = isFalsePromise ? ErrorKind::UpstreamFailed : kind;
-    const bool isNotRun = errorAnswer(told).runState == RunState::NotRun;
-    ApricotStep::refuse(*m_exchange, told, { isNotRun ? retryAfter : Duration(0), m_context.callbacks().isLeaving() });
-    end(isNotRun ? RequestOutcome::Refused : RequestOutcome::Failed, std::string(errorAnswer(told).word));
+    const bool wouldClaimNotRun = m_executionState == ExecutionState::MayHaveRun && errorAnswer(kind).runState == RunState::NotRun;
+    const ErrorKind reportedKind = wouldClaimNotRun ? ErrorKind::UpstreamFailed : kind;
+    const bool isNotRun = errorAnswer(reportedKind).runState == RunState::NotRun;
+    ApricotStep::refuse(*m_exchange, reportedKind, { isNotRun ? retryAfter : Duration(0), m_context.callbacks().isLeaving() });
+    end(isNotRun ? RequestOutcome::Refused : RequestOutcome::Failed, std::string(errorAnswer(reportedKind).word));
 }
 
-void RequestJob::breakOff(const std::string &reason)
+void RequestJob::abortStream(const std::string &reason)
 {
     m_context.log().write(Important, "request", "stream_cut",
         { { "request", m_decoded.id }, { "upstream", m_upstream.id.value() }, { "lastEvent", m_events.lastId() },
@@ -638,8 +638,8 @@
     if (m_phase == Phase::Ended) {
         return;
     }
-    const bool isAtUpstream = abandonAttempt();
-    giveUp(isAtUpstream || m_outcome == Outcome::MayHaveRun ? ErrorKind::UpstreamTimeout : ErrorKind::NoUpstream);
+    const bool wasAtUpstream = cancelAttempt();
+    giveUp(wasAtUpstream || m_executionState == ExecutionState::MayHaveRun ? ErrorKind::UpstreamTimeout : ErrorKind::NoUpstream);
 }
 
 void RequestJob::onCallerGone()
@@ -647,7 +647,7 @@
     if (m_phase == Phase::Ended) {
         return;
     }
-    abandonAttempt();
+    cancelAttempt();
     end(RequestOutcome::CallerGone, "");
 }
 
@@ -658,8 +658,8 @@
     m_context.loop().cancel(m_deadlineTimer);
     m_context.loop().cancel(m_waitTimer);
     m_context.loop().cancel(m_stallTimer);
-    m_context.log().write(reason.empty() ? Step : Important, "request", outcomeWord(outcome),
-        { { "request", m_decoded.id }, { "reason", reason }, { "arrivals", std::int64_t(m_arrivals) },
+    m_context.log().write(reason.empty() ? RequestStep : Important, "request", outcomeWord(outcome),
+        { { "request", m_decoded.id }, { "reason", reason }, { "arrivals", std::int64_t(m_attemptsReceived) },
             { "tookMs", (now() - m_arrivedAt).milliseconds() } });
     m_context.onEnded(m_number);
 }
--- a/main/entry/requestjob.h
+++ b/main/entry/requestjob.h
@@ -61,7 +61,7 @@
         Ended,
     };
     /** How the upstreams that were tried left the request. */
-    enum class Outcome {
+    enum class ExecutionState {
         NotRun,
         MayHaveRun,
     };
@@ -92,18 +92,18 @@
     void onDone(const CallResult &result);
     void onAnswered();
     void onNotRun();
-    void onBroken(const CallResult &result);
-    void onStreamBroken();
+    void onIncompleteAnswer(const CallResult &result);
+    void onStreamInterrupted();
     void onServerFailure();
     void endAttempt();
     /** Ends the attempt in progress, which tells its upstream to stop; false when there is none. */
-    bool abandonAttempt();
+    bool cancelAttempt();
     void retryOrGiveUp(ErrorKind kind);
 
     void deliver(const Platform::UpstreamAnswer &answer, std::string body);
     void giveUp(ErrorKind kind);
     void refuse(ErrorKind kind, Duration retryAfter);
-    void breakOff(const std::string &reason);
+    void abortStream(const std::string &reason);
     void onDeadline();
     void onCallerGone();
     void onDrained();
@@ -123,13 +123,13 @@
     Time m_arrivedAt;
     Time m_deadline;
     Phase m_phase = Phase::Waiting;
-    Outcome m_outcome = Outcome::NotRun;
+    ExecutionState m_executionState = ExecutionState::NotRun;
     /** Upstreams that may have begun to run it. */
-    int m_runs = 0;
-    int m_arrivals = 0;
+    int m_possibleRuns = 0;
+    int m_attemptsReceived = 0;
     bool m_isCounted = false;
     bool m_hasWaited = false;
-    std::set<UpstreamId> m_tried;
+    std::set<UpstreamId> m_excluded;
     TimerId m_deadlineTimer = 0;
     TimerId m_waitTimer = 0;
     TimerId m_stallTimer = 0;
@@ -140,7 +140,7 @@
     AdapterVersion m_version;
     std::optional<Platform::UpstreamAnswer> m_answer;
     std::string m_body;
-    bool m_isUnread = false;
+    bool m_isPromptPending = false;
     Time m_sentAt;
     Time m_lastReceivedAt;
 
