--- a/main/entry/entrymetrics.cpp
+++ b/main/entry/entrymetrics.cpp
@@ -15,9 +15,9 @@
 {
 
 // From one round trip to the longest deadline of a stream; each bound about doubles, so that the objectives of 0.1, 0.3, 0.6 and 1 s show.
-const prometheus::Histogram::BucketBoundaries Seconds { 0.025, 0.05, 0.1, 0.2, 0.3, 0.6, 1, 2, 5, 15 };
+const prometheus::Histogram::BucketBoundaries BucketBounds { 0.025, 0.05, 0.1, 0.2, 0.3, 0.6, 1, 2, 5, 15 };
 
-const char *wordOf(RequestKind kind)
+const char *kindName(RequestKind kind)
 {
     switch (kind) {
     case RequestKind::Idempotent:
@@ -37,24 +37,25 @@
     prometheus::Registry registry;
     prometheus::Family<prometheus::Counter> &requests =
         prometheus::BuildCounter().Name("apricotstep_entry_requests_total").Help("Requests by kind and outcome.").Register(registry);
-    prometheus::Family<prometheus::Counter> &arrivals = prometheus::BuildCounter()
-                                                            .Name("apricotstep_entry_sent_total")
-                                                            .Help("Requests sent to upstreams; repeats are those after the first.")
-                                                            .Register(registry);
-    prometheus::Family<prometheus::Counter> &troubles = prometheus::BuildCounter()
-                                                            .Name("apricotstep_entry_upstream_troubles_total")
-                                                            .Help("Refusals before execution, failures and broken answers of upstreams.")
-                                                            .Register(registry);
+    prometheus::Family<prometheus::Counter> &sentRequests = prometheus::BuildCounter()
+                                                                .Name("apricotstep_entry_sent_total")
+                                                                .Help("Requests sent to upstreams; repeats are those after the first.")
+                                                                .Register(registry);
+    prometheus::Family<prometheus::Counter> &upstreamFailures =
+        prometheus::BuildCounter()
+            .Name("apricotstep_entry_upstream_troubles_total")
+            .Help("Refusals before execution, failures and broken answers of upstreams.")
+            .Register(registry);
     prometheus::Family<prometheus::Counter> &orders =
         prometheus::BuildCounter().Name("apricotstep_entry_orders_total").Help("Orders to engines by answer.").Register(registry);
     prometheus::Family<prometheus::Histogram> &durations = prometheus::BuildHistogram()
                                                                .Name("apricotstep_entry_request_seconds")
                                                                .Help("Arrival to the end of the answer, served requests.")
                                                                .Register(registry);
-    prometheus::Family<prometheus::Histogram> &firsts = prometheus::BuildHistogram()
-                                                            .Name("apricotstep_entry_first_answer_seconds")
-                                                            .Help("Arrival to the first byte of a stream.")
-                                                            .Register(registry);
+    prometheus::Family<prometheus::Histogram> &firstBytes = prometheus::BuildHistogram()
+                                                                .Name("apricotstep_entry_first_answer_seconds")
+                                                                .Help("Arrival to the first byte of a stream.")
+                                                                .Register(registry);
     prometheus::Family<prometheus::Histogram> &waits = prometheus::BuildHistogram()
                                                            .Name("apricotstep_entry_wait_seconds")
                                                            .Help("Arrival to the first sending: the wait for an adapter or an upstream.")
@@ -68,7 +69,7 @@
     }
 };
 
-const char *outcomeWord(RequestOutcome outcome)
+const char *outcomeName(RequestOutcome outcome)
 {
     switch (outcome) {
     case RequestOutcome::Served:
@@ -77,7 +78,7 @@
         return "refused";
     case RequestOutcome::Failed:
         return "failed";
-    case RequestOutcome::BrokenOff:
+    case RequestOutcome::Truncated:
         return "broken_off";
     case RequestOutcome::CallerGone:
         return "caller_gone";
@@ -94,28 +95,28 @@
 
 void EntryMetrics::requestEnded(RequestKind kind, RequestOutcome outcome, Duration took)
 {
-    d->requests.Add({ { "kind", wordOf(kind) }, { "outcome", outcomeWord(outcome) } }).Increment();
+    d->requests.Add({ { "kind", kindName(kind) }, { "outcome", outcomeName(outcome) } }).Increment();
     if (outcome == RequestOutcome::Served) {
-        d->durations.Add({ { "kind", wordOf(kind) } }, Seconds).Observe(took.toSeconds());
+        d->durations.Add({ { "kind", kindName(kind) } }, BucketBounds).Observe(took.toSeconds());
     }
 }
 
 void EntryMetrics::answerBegan(RequestKind kind, Duration after)
 {
-    d->firsts.Add({ { "kind", wordOf(kind) } }, Seconds).Observe(after.toSeconds());
+    d->firstBytes.Add({ { "kind", kindName(kind) } }, BucketBounds).Observe(after.toSeconds());
 }
 
 void EntryMetrics::sent(RequestKind kind, Duration waited, bool isRepeat)
 {
-    d->arrivals.Add({ { "kind", wordOf(kind) }, { "repeat", isRepeat ? "yes" : "no" } }).Increment();
+    d->sentRequests.Add({ { "kind", kindName(kind) }, { "repeat", isRepeat ? "yes" : "no" } }).Increment();
     if (!isRepeat) {
-        d->waits.Add({ { "kind", wordOf(kind) } }, Seconds).Observe(waited.toSeconds());
+        d->waits.Add({ { "kind", kindName(kind) } }, BucketBounds).Observe(waited.toSeconds());
     }
 }
 
 void EntryMetrics::upstreamFailed(std::string_view what)
 {
-    d->troubles.Add({ { "what", std::string(what) } }).Increment();
+    d->upstreamFailures.Add({ { "what", std::string(what) } }).Increment();
 }
 
 void EntryMetrics::order(std::string_view answer)
--- a/main/entry/entrymetrics.h
+++ b/main/entry/entrymetrics.h
@@ -19,12 +19,12 @@
     /** It may have run, and has no whole answer. */
     Failed,
     /** Its answer broke off after its begin. */
-    BrokenOff,
+    Truncated,
     CallerGone,
 };
 
 /** The word for @p outcome in logs and metrics. */
-const char *outcomeWord(RequestOutcome outcome);
+const char *outcomeName(RequestOutcome outcome);
 
 /** Facts that are read when metrics are asked for. */
 struct EntryGauges
--- a/main/entry/eventlog.cpp
+++ b/main/entry/eventlog.cpp
@@ -36,14 +36,14 @@
     std::uint64_t dropped = 0;
     std::uint64_t droppedSinceLine = 0;
 
-    bool mayWrite(Severity weight)
+    bool mayWrite(Severity severity)
     {
         const Time now = clock.now();
         if (now - windowStart >= Duration::seconds(1)) {
             windowStart = now;
             written = 0;
         }
-        const int limit = weight == Severity::Routine ? RequestLinesPerSecond : LinesPerSecond;
+        const int limit = severity == Severity::Routine ? RequestLinesPerSecond : LinesPerSecond;
         return written < limit && isWritable();
     }
 };
@@ -58,9 +58,9 @@
 
 EventLog::~EventLog() = default;
 
-void EventLog::write(Severity weight, std::string_view part, std::string_view event, std::initializer_list<LogField> fields)
+void EventLog::write(Severity severity, std::string_view part, std::string_view event, std::initializer_list<LogField> fields)
 {
-    if (!d->mayWrite(weight)) {
+    if (!d->mayWrite(severity)) {
         ++d->dropped;
         ++d->droppedSinceLine;
         return;
--- a/main/entry/eventlog.h
+++ b/main/entry/eventlog.h
@@ -41,7 +41,7 @@
     ~EventLog();
 
     /** @p part: the part of the program; @p event: what happened, a word of docs/LOGS.md. */
-    void write(Severity weight, std::string_view part, std::string_view event, std::initializer_list<LogField> fields);
+    void write(Severity severity, std::string_view part, std::string_view event, std::initializer_list<LogField> fields);
     /** Lines dropped since the start. */
     std::uint64_t dropped() const;
 
--- a/main/entry/refusal.cpp
+++ b/main/entry/refusal.cpp
@@ -20,20 +20,21 @@
 
 } // namespace
 
-void refuse(HttpExchange &exchange, ErrorKind kind, const RefusalAdvice &advice)
+void refuse(HttpExchange &exchange, ErrorKind kind, const RefusalOptions &options)
 {
     HttpHeaders headers { { "Content-Type", "application/json" } };
-    if (advice.retryAfter > Duration(0)) {
-        headers.emplace_back("Retry-After", secondsText(advice.retryAfter));
+    if (options.retryAfter > Duration(0)) {
+        headers.emplace_back("Retry-After", secondsText(options.retryAfter));
     }
     ErrorDetails details;
-    details.retryAfter = advice.retryAfter;
-    exchange.respond(errorAnswer(kind).httpStatus, withConnection(std::move(headers), advice.isLast), errorBody(kind, details));
+    details.retryAfter = options.retryAfter;
+    exchange.respond(
+        errorAnswer(kind).httpStatus, withConnectionHeader(std::move(headers), options.closesConnection), errorBody(kind, details));
 }
 
-HttpHeaders withConnection(HttpHeaders headers, bool isLast)
+HttpHeaders withConnectionHeader(HttpHeaders headers, bool closesConnection)
 {
-    if (isLast) {
+    if (closesConnection) {
         headers.emplace_back("Connection", "close");
     }
     return headers;
--- a/main/entry/requestjob.cpp
+++ b/main/entry/requestjob.cpp
@@ -395,7 +395,7 @@
     if (!m_isStreaming) {
         m_isStreaming = true;
         m_context.metrics().answerBegan(m_route.kind, now() - m_arrivedAt);
-        m_exchange->beginStream(m_answer->status, withConnection(m_answer->callerHeaders, m_context.callbacks().isLeaving()));
+        m_exchange->beginStream(m_answer->status, withConnectionHeader(m_answer->callerHeaders, m_context.callbacks().isLeaving()));
         m_context.log().write(RequestStep, "request", "streaming",
             { { "request", m_decoded.id }, { "upstream", m_upstream.id.value() }, { "afterMs", (now() - m_arrivedAt).milliseconds() } });
     }
@@ -594,7 +594,7 @@
         refuse(ErrorKind::UpstreamFailed, RetryAfterRefusal);
         return;
     }
-    m_exchange->respond(answer.status, withConnection(answer.callerHeaders, m_context.callbacks().isLeaving()), std::move(body));
+    m_exchange->respond(answer.status, withConnectionHeader(answer.callerHeaders, m_context.callbacks().isLeaving()), std::move(body));
     const bool isServed = isSuccess(answer.status);
     end(isServed ? RequestOutcome::Served : RequestOutcome::Failed, isServed ? "" : "the upstream failed");
 }
@@ -630,7 +630,7 @@
         { { "request", m_decoded.id }, { "upstream", m_upstream.id.value() }, { "lastEvent", m_events.lastId() },
             { "silentMs", (now() - m_lastReceivedAt).milliseconds() }, { "paused", m_isPaused } });
     m_exchange->abort();
-    end(RequestOutcome::BrokenOff, reason);
+    end(RequestOutcome::Truncated, reason);
 }
 
 void RequestJob::onDeadline()
@@ -658,7 +658,7 @@
     m_context.loop().cancel(m_deadlineTimer);
     m_context.loop().cancel(m_waitTimer);
     m_context.loop().cancel(m_stallTimer);
-    m_context.log().write(reason.empty() ? RequestStep : Important, "request", outcomeWord(outcome),
+    m_context.log().write(reason.empty() ? RequestStep : Important, "request", outcomeName(outcome),
         { { "request", m_decoded.id }, { "reason", reason }, { "arrivals", std::int64_t(m_attemptsReceived) },
             { "tookMs", (now() - m_arrivedAt).milliseconds() } });
     m_context.onEnded(m_number);
--- a/main/entry/tracecommand.cpp
+++ b/main/entry/tracecommand.cpp
@@ -18,10 +18,10 @@
 constexpr int NotFoundExit = 1;
 constexpr int UsageExit = 2;
 // Beliefs that changed shortly before a request arrived decided it, too.
-constexpr std::int64_t BeforeMs = 3000;
+constexpr std::int64_t LookbackMs = 3000;
 
 /** What a request's own lines tell of where and when it ran. */
-struct Span
+struct RequestSpan
 {
     std::set<std::string> nodes;
     std::set<std::string> upstreams;
@@ -53,9 +53,9 @@
     return true;
 }
 
-Span spanOf(const std::vector<Json> &lines, const std::string &request)
+RequestSpan findSpan(const std::vector<Json> &lines, const std::string &request)
 {
-    Span span;
+    RequestSpan span;
     for (const Json &line : lines) {
         if (line.value("request", "") != request) {
             continue;
@@ -68,13 +68,13 @@
     return span;
 }
 
-bool belongs(const Json &line, const std::string &request, const Span &span)
+bool isRelevant(const Json &line, const std::string &request, const RequestSpan &span)
 {
     if (line.contains("request")) {
         return line.value("request", "") == request;
     }
     const std::int64_t at = line["at"].get<std::int64_t>();
-    if (!span.nodes.contains(line.value("node", "")) || at < span.from - BeforeMs || at > span.to) {
+    if (!span.nodes.contains(line.value("node", "")) || at < span.from - LookbackMs || at > span.to) {
         return false;
     }
     const std::string part = line.value("part", "");
@@ -107,12 +107,12 @@
     if (!readLines(options.files, lines, errors)) {
         return UsageExit;
     }
-    const Span span = spanOf(lines, options.request);
+    const RequestSpan span = findSpan(lines, options.request);
     if (span.nodes.empty()) {
         errors << "no line names request " << options.request << "\n";
         return NotFoundExit;
     }
-    std::erase_if(lines, [&](const Json &line) { return !belongs(line, options.request, span); });
+    std::erase_if(lines, [&](const Json &line) { return !isRelevant(line, options.request, span); });
     std::stable_sort(
         lines.begin(), lines.end(), [](const Json &a, const Json &b) { return a["at"].get<std::int64_t>() < b["at"].get<std::int64_t>(); });
     for (const Json &line : lines) {
