--- a/main/entry/requestforwarder.cpp
+++ b/main/entry/requestforwarder.cpp
@@ -104,11 +104,11 @@
 {
     const Time now = m_loop.now();
     const RetryBudgetLimits limits = budgetLimits();
-    const auto [at, isNew] = budgets.emplace(service, RetryBudget(limits, now));
+    const auto [it, isNew] = budgets.emplace(service, RetryBudget(limits, now));
     if (!isNew) {
-        at->second.setLimits(limits, now);
+        it->second.setLimits(limits, now);
     }
-    return at->second;
+    return it->second;
 }
 
 bool RequestForwarder::Private::takeRetry(const ServiceName &service)
--- a/main/entry/requestjob.cpp
+++ b/main/entry/requestjob.cpp
@@ -70,8 +70,8 @@
     , m_exchange(std::move(exchange))
     , m_arrivedAt(context.loop().now())
 {
-    const Duration wanted = m_decoded.deadline.value_or(m_route.timeout);
-    m_deadline = m_arrivedAt + std::min(wanted, m_route.timeout);
+    const Duration requested = m_decoded.deadline.value_or(m_route.timeout);
+    m_deadline = m_arrivedAt + std::min(requested, m_route.timeout);
     m_service = drawTarget(m_route, std::uniform_real_distribution<double>(0, 1)(context.random())).service;
 }
 
@@ -291,7 +291,7 @@
 void RequestJob::send(const UpstreamRecord &record)
 {
     m_context.loop().cancel(m_waitTimer);
-    if (m_attemptsReceived > 0 && !m_context.takeRetry(m_service)) {
+    if (m_attemptsSent > 0 && !m_context.takeRetry(m_service)) {
         m_context.log().write(Important, "request", "no_retry_budget", { { "request", m_decoded.id }, { "service", m_service.value() } });
         giveUp(m_executionState == ExecutionState::NotRun ? ErrorKind::Overloaded : ErrorKind::UpstreamFailed);
         return;
@@ -309,10 +309,10 @@
     m_isPromptPending = true;
     m_context.clusterState().loadTracker.onSent(record.id, promptTokens());
     m_context.log().write(RequestStep, "request", "sent",
-        { { "request", m_decoded.id }, { "upstream", record.id.value() }, { "arrival", std::int64_t(m_attemptsReceived + 1) },
+        { { "request", m_decoded.id }, { "upstream", record.id.value() }, { "arrival", std::int64_t(m_attemptsSent + 1) },
             { "version", m_version.value() }, { "leftMs", timeLeft().milliseconds() },
             { "waitedMs", (now() - m_arrivedAt).milliseconds() } });
-    m_context.metrics().sent(m_route.kind, now() - m_arrivedAt, m_attemptsReceived > 0);
+    m_context.metrics().sent(m_route.kind, now() - m_arrivedAt, m_attemptsSent > 0);
     m_call = m_context.loop().client().start(makeCall(record));
 }
 
@@ -368,8 +368,8 @@
 bool RequestJob::acceptsHead(int status, const HttpHeaders &headers)
 {
     Platform::UpstreamAnswer answer = Platform::decodeUpstreamAnswer(status, headers);
-    const bool isAnswerToThis = answer.requestId == m_decoded.id || (answer.requestId.empty() && answer.isNotRun);
-    if (!isAnswerToThis || answer.isEncoded || (isSuccess(status) && !answer.isSealed)) {
+    const bool isForThisRequest = answer.requestId == m_decoded.id || (answer.requestId.empty() && answer.isNotRun);
+    if (!isForThisRequest || answer.isEncoded || (isSuccess(status) && !answer.isSealed)) {
         m_context.log().write(Important, "request", "foreign_answer",
             { { "request", m_decoded.id }, { "upstream", m_upstream.id.value() }, { "answered", answer.requestId },
                 { "status", std::int64_t(status) } });
@@ -471,7 +471,7 @@
         return;
     }
     endAttempt();
-    if (result.state != AttemptState::NotSent && m_attemptsReceived++ == 0) {
+    if (result.state != AttemptState::NotSent && m_attemptsSent++ == 0) {
         m_context.reportFirstArrival(m_service);
     }
     switch (result.state) {
@@ -659,7 +659,7 @@
     m_context.loop().cancel(m_waitTimer);
     m_context.loop().cancel(m_stallTimer);
     m_context.log().write(reason.empty() ? RequestStep : Important, "request", outcomeName(outcome),
-        { { "request", m_decoded.id }, { "reason", reason }, { "arrivals", std::int64_t(m_attemptsReceived) },
+        { { "request", m_decoded.id }, { "reason", reason }, { "arrivals", std::int64_t(m_attemptsSent) },
             { "tookMs", (now() - m_arrivedAt).milliseconds() } });
     m_context.onEnded(m_number);
 }
--- a/main/entry/requestjob.h
+++ b/main/entry/requestjob.h
@@ -126,7 +126,7 @@
     ExecutionState m_executionState = ExecutionState::NotRun;
     /** Upstreams that may have begun to run it. */
     int m_possibleRuns = 0;
-    int m_attemptsReceived = 0;
+    int m_attemptsSent = 0;
     bool m_isCounted = false;
     bool m_hasWaited = false;
     std::set<UpstreamId> m_excluded;
