--- a/tests/main/scriptedupstream.cpp
+++ b/tests/main/scriptedupstream.cpp
@@ -67,20 +67,20 @@
 bool ScriptedUpstream::readRequest(int socket, std::string &request)
 {
     char buffer[4096];
-    std::size_t wanted = std::string::npos;
-    while (request.size() < wanted) {
-        const ssize_t count = recv(socket, buffer, sizeof buffer, 0);
-        if (count <= 0) {
+    std::size_t requestSize = std::string::npos;
+    while (request.size() < requestSize) {
+        const ssize_t received = recv(socket, buffer, sizeof buffer, 0);
+        if (received <= 0) {
             return false;
         }
-        request.append(buffer, static_cast<std::size_t>(count));
+        request.append(buffer, static_cast<std::size_t>(received));
         const std::size_t head = request.find("\r\n\r\n");
         if (head == std::string::npos) {
             continue;
         }
         const std::size_t field = request.find("Content-Length: ");
         const std::size_t body = field < head ? std::stoul(request.substr(field + 16)) : 0;
-        wanted = head + 4 + body;
+        requestSize = head + 4 + body;
     }
     return true;
 }
@@ -100,7 +100,7 @@
         const ScriptedAnswer answer = m_script(request);
         const std::string bytes = absl::StrReplaceAll(answer.bytes, { { "{id}", id } });
         static_cast<void>(!send(socket, bytes.data(), bytes.size(), MSG_NOSIGNAL));
-        if (answer.isSilent) {
+        if (answer.isHanging) {
             char byte = 0;
             recv(socket, &byte, 1, 0);
             ++m_closedByPeer;
--- a/tests/main/scriptedupstream.h
+++ b/tests/main/scriptedupstream.h
@@ -24,7 +24,7 @@
     };
     ConnectionAction connectionAction = ConnectionAction::Keep;
     /** Waits for the other side to close after the bytes. */
-    bool isSilent = false;
+    bool isHanging = false;
 };
 
 /** A TCP server on a free port of 127.0.0.1 that answers requests with bytes of a script, broken ones too. */
--- a/tests/main/testrequestforwarder.cpp
+++ b/tests/main/testrequestforwarder.cpp
@@ -15,13 +15,14 @@
 namespace
 {
 
-constexpr const char *Whole =
+constexpr const char *CompleteAnswer =
     "HTTP/1.1 200 OK\r\nApricotstep-Request-Id: {id}\r\nApricotstep-Server-Seal: s\r\nContent-Length: 5\r\n\r\nwhole";
-constexpr const char *Half =
+constexpr const char *IncompleteAnswer =
     "HTTP/1.1 200 OK\r\nApricotstep-Request-Id: {id}\r\nApricotstep-Server-Seal: s\r\nContent-Length: 500\r\n\r\nhalf";
-constexpr const char *Failure =
+constexpr const char *FailureAnswer =
     "HTTP/1.1 500 No\r\nApricotstep-Request-Id: {id}\r\nApricotstep-Server-Seal: s\r\nContent-Length: 4\r\n\r\nfail";
-constexpr const char *NotRun = "HTTP/1.1 503 Full\r\nApricotstep-Request-Id: {id}\r\nApricotstep-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
+constexpr const char *NotRunAnswer =
+    "HTTP/1.1 503 Full\r\nApricotstep-Request-Id: {id}\r\nApricotstep-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
 constexpr const char *StreamHead =
     "HTTP/1.1 200 OK\r\nApricotstep-Request-Id: {id}\r\nApricotstep-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -31,7 +32,7 @@
 }
 
 /** A forwarder before scripted upstreams of one service, on a loop that the test drives. */
-struct Bench
+struct ForwarderFixture
 {
     SystemClock clock;
     IoLoop loop { clock };
@@ -42,7 +43,7 @@
     bool isLeaving = false;
     std::optional<Duration> ordersIn = Duration(0);
 
-    Bench()
+    ForwarderFixture()
     {
         ForwarderCallbacks callbacks;
         callbacks.onPendingAdapters = [] {};
@@ -98,10 +99,10 @@
         request.body = method == "POST" ? "body" : "";
         return request;
     }
-    std::shared_ptr<Rig::Caller> send(HttpRequest what)
+    std::shared_ptr<Rig::Caller> send(HttpRequest httpRequest)
     {
         auto caller = std::make_shared<Rig::Caller>();
-        forwarder->onRequest(std::move(what), caller);
+        forwarder->onRequest(std::move(httpRequest), caller);
         return caller;
     }
     /** Drives the loop until @p isDone, two seconds at most. */
@@ -128,17 +129,17 @@
 {
     int calls = 0;
     const ScriptedUpstream first([&](const std::string &) {
-        return ScriptedAnswer { ++calls == 1 ? Failure : Half, ScriptedAnswer::ConnectionAction::Close };
+        return ScriptedAnswer { ++calls == 1 ? FailureAnswer : IncompleteAnswer, ScriptedAnswer::ConnectionAction::Close };
     });
     const ScriptedUpstream second([&](const std::string &) {
-        return ScriptedAnswer { ++calls == 1 ? Failure : Half, ScriptedAnswer::ConnectionAction::Close };
+        return ScriptedAnswer { ++calls == 1 ? FailureAnswer : IncompleteAnswer, ScriptedAnswer::ConnectionAction::Close };
     });
-    Bench bench;
-    bench.configure(RequestKind::Idempotent, 2);
-    bench.addUpstream("u1", first);
-    bench.addUpstream("u2", second);
-    const auto caller = bench.send(Bench::request());
-    bench.runUntil([&] { return caller->isDone(); });
+    ForwarderFixture fixture;
+    fixture.configure(RequestKind::Idempotent, 2);
+    fixture.addUpstream("u1", first);
+    fixture.addUpstream("u2", second);
+    const auto caller = fixture.send(ForwarderFixture::request());
+    fixture.runUntil([&] { return caller->isDone(); });
     cr_assert_eq(caller->status(), 500);
     cr_assert(caller->body() == "fail");
     cr_assert_eq(calls, 2);
@@ -150,16 +151,16 @@
 {
     int calls = 0;
     const ScriptedUpstream upstream([&](const std::string &) {
-        return ++calls == 1 ? ScriptedAnswer { Whole } : ScriptedAnswer { "", ScriptedAnswer::ConnectionAction::Close };
+        return ++calls == 1 ? ScriptedAnswer { CompleteAnswer } : ScriptedAnswer { "", ScriptedAnswer::ConnectionAction::Close };
     });
-    Bench bench;
-    bench.configure(RequestKind::NonIdempotent, 1);
-    bench.addUpstream("u1", upstream);
-    const auto first = bench.send(Bench::request());
-    bench.runUntil([&] { return first->isDone(); });
+    ForwarderFixture fixture;
+    fixture.configure(RequestKind::NonIdempotent, 1);
+    fixture.addUpstream("u1", upstream);
+    const auto first = fixture.send(ForwarderFixture::request());
+    fixture.runUntil([&] { return first->isDone(); });
     cr_assert_eq(first->status(), 200);
-    const auto second = bench.send(Bench::request());
-    bench.runUntil([&] { return second->isDone(); });
+    const auto second = fixture.send(ForwarderFixture::request());
+    fixture.runUntil([&] { return second->isDone(); });
     cr_assert_eq(second->status(), 502);
     cr_assert_eq(upstream.requests().size(), 2);
 }
@@ -167,15 +168,15 @@
 // An upstream says that it was full and did not run a payment. It may go to another one, and the caller never learns of the first.
 Test(requestforwarder, aRefusalBeforeExecutionIsTriedElsewhere)
 {
-    const ScriptedUpstream full([](const std::string &) { return ScriptedAnswer { NotRun }; });
-    const ScriptedUpstream free([](const std::string &) { return ScriptedAnswer { Whole }; });
-    Bench bench;
-    bench.configure(RequestKind::NonIdempotent, 1);
-    bench.addUpstream("full", full);
-    bench.addUpstream("free", free);
+    const ScriptedUpstream full([](const std::string &) { return ScriptedAnswer { NotRunAnswer }; });
+    const ScriptedUpstream free([](const std::string &) { return ScriptedAnswer { CompleteAnswer }; });
+    ForwarderFixture fixture;
+    fixture.configure(RequestKind::NonIdempotent, 1);
+    fixture.addUpstream("full", full);
+    fixture.addUpstream("free", free);
     for (int i = 0; i < 4; ++i) {
-        const auto caller = bench.send(Bench::request());
-        bench.runUntil([&] { return caller->isDone(); });
+        const auto caller = fixture.send(ForwarderFixture::request());
+        fixture.runUntil([&] { return caller->isDone(); });
         cr_assert_eq(caller->status(), 200);
     }
 }
@@ -189,11 +190,11 @@
             "HTTP/1.1 503 No\r\nApricotstep-Request-Id: {id}\r\nApricotstep-Server-Seal: s\r\nContent-Length: 0\r\n\r\n"
         };
     });
-    Bench bench;
-    bench.configure(RequestKind::NonIdempotent, 1);
-    bench.addUpstream("u1", upstream);
-    const auto caller = bench.send(Bench::request());
-    bench.runUntil([&] { return caller->isDone(); });
+    ForwarderFixture fixture;
+    fixture.configure(RequestKind::NonIdempotent, 1);
+    fixture.addUpstream("u1", upstream);
+    const auto caller = fixture.send(ForwarderFixture::request());
+    fixture.runUntil([&] { return caller->isDone(); });
     cr_assert_eq(caller->status(), 502);
 }
 
@@ -206,11 +207,11 @@
             "HTTP/1.1 200 OK\r\nApricotstep-Request-Id: other\r\nApricotstep-Server-Seal: s\r\nContent-Length: 5\r\n\r\nother"
         };
     });
-    Bench bench;
-    bench.configure(RequestKind::NonIdempotent, 1);
-    bench.addUpstream("u1", upstream);
-    const auto caller = bench.send(Bench::request());
-    bench.runUntil([&] { return caller->isDone(); });
+    ForwarderFixture fixture;
+    fixture.configure(RequestKind::NonIdempotent, 1);
+    fixture.addUpstream("u1", upstream);
+    const auto caller = fixture.send(ForwarderFixture::request());
+    fixture.runUntil([&] { return caller->isDone(); });
     cr_assert_eq(caller->status(), 502);
     cr_assert(caller->body().find("other") == std::string::npos);
 }
@@ -219,12 +220,12 @@
 // could else run on memory that belongs to somebody else's request.
 Test(requestforwarder, aRequestGoesOnAsItCameWithoutForgedHeaders)
 {
-    const ScriptedUpstream upstream([](const std::string &) { return ScriptedAnswer { Whole }; });
-    Bench bench;
-    bench.configure(RequestKind::Idempotent, 2);
-    bench.addUpstream("u1", upstream);
-    const auto caller = bench.send(Bench::request());
-    bench.runUntil([&] { return caller->isDone(); });
+    const ScriptedUpstream upstream([](const std::string &) { return ScriptedAnswer { CompleteAnswer }; });
+    ForwarderFixture fixture;
+    fixture.configure(RequestKind::Idempotent, 2);
+    fixture.addUpstream("u1", upstream);
+    const auto caller = fixture.send(ForwarderFixture::request());
+    fixture.runUntil([&] { return caller->isDone(); });
     const auto requests = upstream.requests();
     cr_assert_eq(requests.size(), 1);
     const std::string &sent = requests.front();
@@ -232,8 +233,8 @@
     cr_assert(absl::EndsWith(sent, "\r\n\r\nbody"));
     cr_assert(absl::StrContains(sent, "X-Own: v\r\n"));
     cr_assert(absl::StrContains(sent, "Apricotstep-Expect-Instance: u1\r\n"));
-    for (const char *gone : { "X-Hop", "Apricotstep-Hold", "Kv-From", "Expect:", "Accept:" }) {
-        cr_assert_not(absl::StrContains(sent, gone), "%s in %s", gone, sent.c_str());
+    for (const char *removed : { "X-Hop", "Apricotstep-Hold", "Kv-From", "Expect:", "Accept:" }) {
+        cr_assert_not(absl::StrContains(sent, removed), "%s in %s", removed, sent.c_str());
     }
 }
 
@@ -252,12 +253,12 @@
     };
     const ScriptedUpstream first(script);
     const ScriptedUpstream second(script);
-    Bench bench;
-    bench.configure(RequestKind::Stream, 2, true);
-    bench.addUpstream("u1", first);
-    bench.addUpstream("u2", second);
-    const auto caller = bench.send(Bench::request());
-    bench.runUntil([&] { return caller->isDone(); });
+    ForwarderFixture fixture;
+    fixture.configure(RequestKind::Stream, 2, true);
+    fixture.addUpstream("u1", first);
+    fixture.addUpstream("u2", second);
+    const auto caller = fixture.send(ForwarderFixture::request());
+    fixture.runUntil([&] { return caller->isDone(); });
     cr_assert(caller->body() == "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "%s", caller->body().c_str());
     cr_assert(caller->isFinished());
 }
@@ -270,12 +271,12 @@
     };
     const ScriptedUpstream first(script);
     const ScriptedUpstream second(script);
-    Bench bench;
-    bench.configure(RequestKind::Stream, 1);
-    bench.addUpstream("u1", first);
-    bench.addUpstream("u2", second);
-    const auto caller = bench.send(Bench::request());
-    bench.runUntil([&] { return caller->isDone(); });
+    ForwarderFixture fixture;
+    fixture.configure(RequestKind::Stream, 1);
+    fixture.addUpstream("u1", first);
+    fixture.addUpstream("u2", second);
+    const auto caller = fixture.send(ForwarderFixture::request());
+    fixture.runUntil([&] { return caller->isDone(); });
     cr_assert_not(caller->isFinished());
     cr_assert_eq(first.requests().size() + second.requests().size(), 1);
 }
@@ -286,21 +287,21 @@
     const ScriptedUpstream upstream([](const std::string &) {
         return ScriptedAnswer { "", ScriptedAnswer::ConnectionAction::Keep, true };
     });
-    Bench bench;
-    bench.configure(RequestKind::NonIdempotent, 1);
-    bench.addUpstream("u1", upstream);
-    const auto caller = bench.send(Bench::request());
-    bench.runUntil([&] { return !upstream.requests().empty(); });
+    ForwarderFixture fixture;
+    fixture.configure(RequestKind::NonIdempotent, 1);
+    fixture.addUpstream("u1", upstream);
+    const auto caller = fixture.send(ForwarderFixture::request());
+    fixture.runUntil([&] { return !upstream.requests().empty(); });
     caller->leave();
-    bench.runUntil([&] { return upstream.closedByPeer() > 0; });
+    fixture.runUntil([&] { return upstream.closedByPeer() > 0; });
     cr_assert_eq(upstream.closedByPeer(), 1);
 }
 
 // A node that has just started knows no routes. A 404 would be believed, and the caller would not come back.
 Test(requestforwarder, withoutAConfigurationRequestsAreRefusedForNow)
 {
-    Bench bench;
-    const auto caller = bench.send(Bench::request());
+    ForwarderFixture fixture;
+    const auto caller = fixture.send(ForwarderFixture::request());
     cr_assert_eq(caller->status(), 503);
     cr_assert(caller->hasHeader("Retry-After"));
 }
@@ -308,28 +309,28 @@
 // What no route takes, what names no request and what is too large gets a clear error, and no upstream sees it.
 Test(requestforwarder, whatCannotBeForwardedGetsAClearError)
 {
-    const ScriptedUpstream upstream([](const std::string &) { return ScriptedAnswer { Whole }; });
-    Bench bench;
-    bench.configure(RequestKind::Idempotent, 2);
-    bench.addUpstream("u1", upstream);
-    HttpRequest unknown = Bench::request();
+    const ScriptedUpstream upstream([](const std::string &) { return ScriptedAnswer { CompleteAnswer }; });
+    ForwarderFixture fixture;
+    fixture.configure(RequestKind::Idempotent, 2);
+    fixture.addUpstream("u1", upstream);
+    HttpRequest unknown = ForwarderFixture::request();
     unknown.target = "/elsewhere/";
-    cr_assert_eq(bench.send(unknown)->status(), 404);
-    HttpRequest nameless = Bench::request();
-    nameless.headers.erase("apricotstep-request-id");
-    cr_assert_eq(bench.send(nameless)->status(), 400);
-    HttpRequest large = Bench::request();
+    cr_assert_eq(fixture.send(unknown)->status(), 404);
+    HttpRequest withoutId = ForwarderFixture::request();
+    withoutId.headers.erase("apricotstep-request-id");
+    cr_assert_eq(fixture.send(withoutId)->status(), 400);
+    HttpRequest large = ForwarderFixture::request();
     large.body = std::string(1001, 'x');
-    cr_assert_eq(bench.send(large)->status(), 413);
+    cr_assert_eq(fixture.send(large)->status(), 413);
     cr_assert(upstream.requests().empty());
 }
 
 // No upstream is left, or none ever came: the caller is told at once that nothing ran and when to come back.
 Test(requestforwarder, withoutAnUpstreamTheCallerIsToldAtOnce)
 {
-    Bench bench;
-    bench.configure(RequestKind::NonIdempotent, 1);
-    const auto caller = bench.send(Bench::request());
+    ForwarderFixture fixture;
+    fixture.configure(RequestKind::NonIdempotent, 1);
+    const auto caller = fixture.send(ForwarderFixture::request());
     cr_assert_eq(caller->status(), 503);
     cr_assert(caller->hasHeader("Retry-After"));
 }
@@ -338,21 +339,21 @@
 // only two and a half for its first word: held, it would leave without a word. It is told at once when to come back.
 Test(requestforwarder, aStreamThatCannotBeginInTimeIsRefusedAtOnce)
 {
-    const ScriptedUpstream upstream([](const std::string &) { return ScriptedAnswer { Whole }; });
-    Bench bench;
-    bench.configure(RequestKind::Stream, 1, false, Duration::seconds(15));
-    bench.addUpstream("u1", upstream);
-    HttpRequest request = Bench::request();
+    const ScriptedUpstream upstream([](const std::string &) { return ScriptedAnswer { CompleteAnswer }; });
+    ForwarderFixture fixture;
+    fixture.configure(RequestKind::Stream, 1, false, Duration::seconds(15));
+    fixture.addUpstream("u1", upstream);
+    HttpRequest request = ForwarderFixture::request();
     request.headers["apricotstep-model"] = "m/a7";
     request.headers["apricotstep-deadline-ms"] = "15000";
-    bench.ordersIn = Duration(3000);
-    const auto refused = bench.send(request);
+    fixture.ordersIn = Duration(3000);
+    const auto refused = fixture.send(request);
     cr_assert_eq(refused->status(), 503);
     cr_assert(refused->hasHeader("Retry-After"));
-    bench.ordersIn = std::nullopt;
-    cr_assert_eq(bench.send(request)->status(), 503, "cut off from those who order: another node may serve it");
-    bench.ordersIn = Duration(500);
-    const auto waiting = bench.send(request);
+    fixture.ordersIn = std::nullopt;
+    cr_assert_eq(fixture.send(request)->status(), 503, "cut off from those who order: another node may serve it");
+    fixture.ordersIn = Duration(500);
+    const auto waiting = fixture.send(request);
     cr_assert_not(waiting->isDone());
     cr_assert(upstream.requests().empty());
 }
@@ -362,16 +363,16 @@
 Test(requestforwarder, whatMayHaveRunIsNeverRefusedAsNotRun)
 {
     const ScriptedUpstream upstream([](const std::string &) { return ScriptedAnswer { "", ScriptedAnswer::ConnectionAction::Close }; });
-    Bench bench;
-    bench.configure(RequestKind::Stream, 2, true);
-    bench.addUpstream("u1", upstream);
-    bench.clusterState.residencies.put(EngineResidency {
+    ForwarderFixture fixture;
+    fixture.configure(RequestKind::Stream, 2, true);
+    fixture.addUpstream("u1", upstream);
+    fixture.clusterState.residencies.put(EngineResidency {
         UpstreamId("u1"), 1, FencingToken(1), 1, { AdapterCopy { BaseModelId("m"), AdapterId("a7"), AdapterVersion("1"), true } } });
-    HttpRequest request = Bench::request();
+    HttpRequest request = ForwarderFixture::request();
     request.headers["apricotstep-model"] = "m/a7";
-    bench.ordersIn = std::nullopt;
-    const auto caller = bench.send(request);
-    bench.runUntil([&] { return caller->isDone(); });
+    fixture.ordersIn = std::nullopt;
+    const auto caller = fixture.send(request);
+    fixture.runUntil([&] { return caller->isDone(); });
     cr_assert_eq(upstream.requests().size(), 1);
     cr_assert_eq(caller->status(), 502);
     cr_assert_not(caller->hasHeader("Retry-After"));
--- a/tests/main/testtracecommand.cpp
+++ b/tests/main/testtracecommand.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-std::string fileWith(const std::string &name, const std::string &text)
+std::string writeFile(const std::string &name, const std::string &text)
 {
     const std::string path = "/tmp/apricotstep-trace-" + std::to_string(getpid()) + "-" + name;
     std::ofstream(path) << text;
@@ -26,14 +26,14 @@
 Test(trace, theStoryOfOneRequestIsPutInOrder)
 {
     const std::string first =
-        fileWith("a", R"(  0.5 n1 {"at":1500,"node":"n1","part":"request","event":"sent","request":"r1","upstream":"u1"}
+        writeFile("a", R"(  0.5 n1 {"at":1500,"node":"n1","part":"request","event":"sent","request":"r1","upstream":"u1"}
 {"at":1000,"node":"n1","part":"request","event":"arrived","request":"r1"}
 {"at":900,"node":"n1","part":"upstream","event":"left","upstream":"u1","reason":"gone"}
 {"at":900,"node":"n1","part":"upstream","event":"left","upstream":"u9","reason":"gone"}
 not json
 {"at":1600,"node":"n1","part":"request","event":"sent","request":"r2","upstream":"u1"}
 )");
-    const std::string second = fileWith("b", R"({"at":1200,"node":"n2","part":"config","event":"in_force","version":3})");
+    const std::string second = writeFile("b", R"({"at":1200,"node":"n2","part":"config","event":"in_force","version":3})");
     std::ostringstream out;
     std::ostringstream errors;
     cr_assert_eq(traceRequest({ "r1", { first, second }, false }, out, errors), 0);
--- a/tests/platform/testrecords.cpp
+++ b/tests/platform/testrecords.cpp
@@ -24,7 +24,7 @@
   "models":[{"name":"m","weightsMb":65500.0,"loadS":1.9,"adapterMb":40.0}]}}],
  "limits":{"maxHeaderBytes":16384,"maxBodyBytes":1000,"headerTimeoutMs":3000,"idleTimeoutMs":15000}})";
 
-const std::string Entry = R"({"service":"llm","address":"10.0.0.1:80","zone":"z","slots":64,"state":"ready","seq":1,"coldLeftMs":0,
+const std::string UpstreamEntry = R"({"service":"llm","address":"10.0.0.1:80","zone":"z","slots":64,"state":"ready","seq":1,"coldLeftMs":0,
  "born":1769525387965,"models":[{"name":"m","version":1,"adapters":["a7@2","a9@1"]}]})";
 
 const std::string Settings = R"(
@@ -101,30 +101,30 @@
 
 Test(records, anUpstreamsEntryIsDecodedOnce)
 {
-    const auto record = decodeUpstream(UpstreamId("u"), Entry);
+    const auto record = decodeUpstream(UpstreamId("u"), UpstreamEntry);
     cr_assert(record.isOk(), "%s", record.isOk() ? "" : record.error().detail.c_str());
     cr_assert(record.value().holds(BaseModelId("m")));
     cr_assert(record.value().models[0].adapters[0].name() == "a7@2");
     cr_assert_eq(record.value().startedAt, 1769525387965);
-    cr_assert(decodeUpstream(UpstreamId("u"), replaced(Entry, "ready", "draining")).value().isLeaving);
+    cr_assert(decodeUpstream(UpstreamId("u"), replaced(UpstreamEntry, "ready", "draining")).value().isLeaving);
 }
 
 // Entries come from other writers, too: fields missing or of another type, states that nobody knows, bytes that are no JSON. Such an entry
 // names no upstream; one that was taken for a whole one would get requests that run nowhere.
 Test(records, anEntryThatIsNotWholeNamesNoUpstream)
 {
-    const auto isRefused = [](const std::string &from, const std::string &to) {
-        return !decodeUpstream(UpstreamId("u"), replaced(Entry, from, to)).isOk();
+    const auto isRejected = [](const std::string &from, const std::string &to) {
+        return !decodeUpstream(UpstreamId("u"), replaced(UpstreamEntry, from, to)).isOk();
     };
-    cr_assert(isRefused("\"address\":\"10.0.0.1:80\",", ""));
-    cr_assert(isRefused("\"slots\":64", "\"slots\":\"many\""));
-    cr_assert(isRefused("\"slots\":64", "\"slots\":0"));
-    cr_assert(isRefused("\"ready\"", "\"dreaming\""));
-    cr_assert(isRefused("1769525387965", "\"today\""));
-    cr_assert(isRefused("\"models\":[", "\"models\":5,\"x\":["));
+    cr_assert(isRejected("\"address\":\"10.0.0.1:80\",", ""));
+    cr_assert(isRejected("\"slots\":64", "\"slots\":\"many\""));
+    cr_assert(isRejected("\"slots\":64", "\"slots\":0"));
+    cr_assert(isRejected("\"ready\"", "\"dreaming\""));
+    cr_assert(isRejected("1769525387965", "\"today\""));
+    cr_assert(isRejected("\"models\":[", "\"models\":5,\"x\":["));
     std::mt19937_64 random(5);
     for (int round = 0; round < 2000; ++round) {
-        std::string bytes = Entry;
+        std::string bytes = UpstreamEntry;
         for (int change = 0; change < 3; ++change) {
             bytes[random() % bytes.size()] = static_cast<char>(random());
         }
@@ -186,7 +186,7 @@
     cr_assert(settings.value().peerAddress == "10.0.0.1:3");
     cr_assert(decodeSettings(replaced(Settings, "graceS = 8", "")).error().detail.find("graceS") != std::string::npos);
     cr_assert(decodeSettings(replaced(Settings, "maxFds = 2870", "maxFds = 0")).error().detail.find("maxFds") != std::string::npos);
-    const auto unbounded = decodeSettings(replaced(Settings, "configBoundMs = 2000", "configBoundMs = 0"));
-    cr_assert(!unbounded.isOk() && unbounded.error().detail.find("configBoundMs") != std::string::npos);
+    const auto withoutBound = decodeSettings(replaced(Settings, "configBoundMs = 2000", "configBoundMs = 0"));
+    cr_assert(!withoutBound.isOk() && withoutBound.error().detail.find("configBoundMs") != std::string::npos);
     cr_assert(decodeSettings("node = ").error().detail.find("line 1") != std::string::npos);
 }
--- a/tests/platform/testrequests.cpp
+++ b/tests/platform/testrequests.cpp
@@ -66,9 +66,9 @@
         { "Apricotstep-Request-Priority", "0" }, { "Apricotstep-Deadline-Ms", "99999" }, { "Apricotstep-Expect-Version", "9" },
         { "Apricotstep-Model", "m/a" }, { "Connection", "keep-alive, X-Hop" }, { "X-Hop", "1" }, { "Transfer-Encoding", "chunked" } });
     const HttpHeaders sent = upstreamHeaders(request, UpstreamBinding { UpstreamId("u"), AdapterVersion("2"), Duration(800), 3, "" });
-    for (const char *gone :
+    for (const char *removed :
         { "apricotstep-hold", "apricotstep-pin-ms", "apricotstep-kv-backup", "kv-from", "x-hop", "connection", "transfer-encoding" }) {
-        cr_assert_eq(count(sent, gone), 0, "%s", gone);
+        cr_assert_eq(count(sent, removed), 0, "%s", removed);
     }
     for (const auto &[name, value] : HttpHeaders { { "apricotstep-expect-instance", "u" }, { "apricotstep-expect-version", "2" },
              { "apricotstep-deadline-ms", "800" }, { "apricotstep-request-priority", "3" } }) {
