--- a/main/entry/requestforwarder.cpp
+++ b/main/entry/requestforwarder.cpp
@@ -15,11 +15,12 @@
 namespace
 {
 
-// A node that does not know a configuration yet will know one within a few round trips.
+// A node that has no configuration yet receives one within a few round trips.
 constexpr Duration RetryAfterNotReady { 300 };
-// How long a sight of crowded copies counts: two messages to the others.
+// How long an adapter is reported as crowded after the last observation: two message intervals between nodes.
 constexpr Duration CrowdedLifetime { 500 };
-// What this node may take of the fleet's allowance: others may count fewer nodes than there are.
+// Fraction of its share of the fleet-wide retry budget that a node uses. Other nodes may count fewer nodes than there are and use more than
+// their share.
 constexpr double BudgetSafetyFactor = 0.6;
 
 } // namespace
@@ -36,7 +37,7 @@
     std::map<std::uint64_t, std::shared_ptr<RequestJob>> jobs;
     std::uint64_t lastJob = 0;
     std::map<ServiceName, RetryBudget> budgets;
-    /** Adapters whose copies are crowded, and since when that was last seen. */
+    /** Adapters whose copies all have long queues, with the time of the last such observation. */
     std::map<AdapterRef, Time> crowdedAdapters;
 
     Private(IoLoop &loop, EventLog &log, EntryMetrics &metrics, ClusterState &clusterState, ForwarderSettings settings,
@@ -88,8 +89,8 @@
     void refuse(HttpExchange &exchange, const std::string &id, ErrorKind kind, const std::string &detail);
 };
 
-// The fleet's allowance, by the nodes known now. A node that has just started knows few of a large fleet; did it keep that share, a hundred
-// nodes restarted together would each take a fourth of the whole.
+// Divides the fleet-wide budget by the number of nodes known now. A node that has just started knows few nodes of a large fleet. With a
+// share fixed at that moment, each of a hundred nodes restarted together would take a quarter of the whole budget.
 RetryBudgetLimits RequestForwarder::Private::budgetLimits() const
 {
     const double nodes = std::max(m_callbacks.nodeCount(), 1);
@@ -128,7 +129,7 @@
 
 void RequestForwarder::Private::onEnded(std::uint64_t job)
 {
-    // The job's own function is still running.
+    // Deferred, since a function of the job is still running.
     m_loop.after(Duration(0), [weak = weak_from_this(), job] {
         if (const auto self = weak.lock()) {
             self->jobs.erase(job);
@@ -158,11 +159,11 @@
     Platform::CallerRequest decoded = Platform::decodeCallerRequest(request);
     const auto table = d->m_clusterState.routes;
     if (table == nullptr) {
-        d->refuse(*exchange, decoded.id, ErrorKind::NotReady, "no configuration is known");
+        d->refuse(*exchange, decoded.id, ErrorKind::NotReady, "no configuration received yet");
         return;
     }
     if (decoded.id.empty()) {
-        d->refuse(*exchange, decoded.id, ErrorKind::BadRequest, "no request id");
+        d->refuse(*exchange, decoded.id, ErrorKind::BadRequest, "missing request id");
         return;
     }
     const Route *route = table->find(decoded.host, decoded.path);
@@ -176,7 +177,7 @@
         return;
     }
     if (!d->m_callbacks.canAccept(std::min(route->timeout, decoded.deadline.value_or(route->timeout)))) {
-        d->refuse(*exchange, decoded.id, ErrorKind::Draining, "it might not end before this process does");
+        d->refuse(*exchange, decoded.id, ErrorKind::Draining, "the request might not end before this process exits");
         return;
     }
     const std::uint64_t number = ++d->lastJob;
@@ -187,7 +188,7 @@
 
 void RequestForwarder::onClusterStateChanged()
 {
-    // A job that looks again may end and change the list.
+    // A job may end while it retries its placement, which changes the list.
     std::vector<std::shared_ptr<RequestJob>> current;
     current.reserve(d->jobs.size());
     for (const auto &[number, job] : d->jobs) {
--- a/main/entry/requestforwarder.h
+++ b/main/entry/requestforwarder.h
@@ -15,34 +15,37 @@
 namespace ApricotStep
 {
 
-/** Figures of the fleet that the forwarding of requests depends on. */
+/** Settings of request forwarding that are the same for the whole fleet, and the zone of this node. */
 struct ForwarderSettings
 {
     ZoneId zone;
-    /** Arrivals at a service beyond the first of each request: a share of the requests, and a number on top, of all nodes in a window. */
+    /**
+     * Limits the retries that the whole fleet may send to a service within the window: a share of its requests plus a fixed number. Each
+     * arrival of a request at the service beyond its first one counts as a retry.
+     */
     double retryShare = 0.1;
     double retryReserve = 16;
     Duration retryWindow = Duration::seconds(10);
-    /** A new adapter version is in use everywhere within this. */
+    /** Time within which every node must use a new adapter version. */
     Duration adapterVersionBound = Duration::seconds(5);
 };
 
-/** What the forwarder needs from the rest of the node. */
+/** Callbacks from the forwarder into the rest of the node. */
 struct ForwarderCallbacks
 {
-    /** Requests wait for adapters that stand nowhere, or where they would wait too long. */
+    /** Called when requests wait for adapters that no usable engine has loaded. */
     std::function<void()> onPendingAdapters;
-    /** Nodes that share the retries, this one included; at least 1. */
+    /** Returns the number of nodes that share the retry budget, including this one; at least 1. */
     std::function<int()> nodeCount;
-    /** The node leaves: answers end their connections. */
+    /** Returns whether the node is leaving; answers then close their connections. */
     std::function<bool()> isLeaving;
-    /** Whether a request that may last for @p longest can be taken. */
+    /** Returns whether the node can accept a request that may take up to @p longest. */
     std::function<bool(Duration longest)> canAccept;
-    /** How long until any node gives orders to engines; unset while this node is cut off from most of the others. */
+    /** Returns the time until some node may order adapter loads; unset while this node is cut off from most of the others. */
     std::function<std::optional<Duration>()> ordersIn;
 };
 
-/** Takes callers' requests and forwards each to an upstream of its route, byte for byte, and the answer back. */
+/** Forwards each caller's request unchanged to an upstream of its route, and the answer back to the caller. */
 class RequestForwarder
 {
 public:
@@ -51,13 +54,13 @@
     ~RequestForwarder();
 
     void onRequest(HttpRequest request, std::shared_ptr<HttpExchange> exchange);
-    /** Requests that wait for an adapter look again. */
+    /** Retries the placement of requests that wait for an adapter. */
     void onClusterStateChanged();
-    /** Adapters that requests run on and wait for; arrivals are counted since the last call. */
+    /** Returns the adapters that requests run on or wait for. Each request is counted as new only in the first call that includes it. */
     std::vector<AdapterUse> uses();
-    /** Only what they wait for; counts nothing. */
+    /** Returns only the adapters that requests wait for; counts no request as new. */
     std::vector<AdapterUse> pendingAdapters() const;
-    /** Requests in progress. */
+    /** Returns the number of requests in progress. */
     int activeCount() const;
 
     struct Private;
--- a/main/entry/requestjob.cpp
+++ b/main/entry/requestjob.cpp
@@ -16,35 +16,37 @@
 constexpr EventLog::Severity Important = EventLog::Severity::Important;
 
 constexpr Duration ConnectTimeout { 400 };
-// An upstream on a connection that went silent is noticed within this.
+// Detects an upstream that stopped responding at the TCP level.
 constexpr Duration AcknowledgeTimeout { 700 };
-// Upstreams close idle connections after some seconds. A request that meets such a close on its way fails; where it may not run twice it
-// cannot be sent again, so it only takes connections that were in use lately.
+// Upstreams close idle connections after some seconds, and a request sent on a connection that is just being closed fails. A non-idempotent
+// request cannot be sent again in that case, so it only reuses connections that were in use recently.
 constexpr Duration MaxConnectionIdle = Duration::seconds(15);
 constexpr Duration MaxConnectionIdleNonIdempotent = Duration::seconds(4);
-// While a request waits for a place, it looks again at least this often.
+// A waiting request retries its placement at least this often.
 constexpr Duration PlacementRetryInterval { 60 };
-// A resumable stream that is silent for so long goes on at another upstream; callers give up after two seconds or more.
+// A resumable stream that receives no data for this long is continued at another upstream. Callers give up after two seconds or more.
 constexpr Duration MaxStall { 1200 };
 constexpr Duration StallCheckInterval { 300 };
-// Callers leave a stream after a gap, also before its first event, of two seconds, four times the latency objective or eight times the
-// longest pause, whichever is longest; so the users' pages say.
+// As documented for callers, they abandon a stream after a gap without data, also before its first event, of two seconds, four times the
+// latency objective or eight times the longest allowed pause, whichever is longest.
 constexpr Duration MinFirstByteTimeout { 2000 };
 constexpr int FirstByteTimeoutInObjectives = 4;
 constexpr int FirstByteTimeoutInPauses = 8;
-// Below this a request could not be answered any more.
+// With less time left than this, a request can no longer be answered.
 constexpr Duration MinUsefulTime { 5 };
-// When a caller that was refused may come back: a place in a queue later.
+// Retry-After of a refusal: about the time in which a queue advances by one request.
 constexpr Duration RetryAfterRefusal { 300 };
-// A prompt that waits for longer than so many fetches before it is read asks for a further copy; shorter waits have ended before one helps.
+// An adapter is reported as crowded, which asks for a further copy, if a prompt would wait longer than this many fetch times before it is
+// read. Shorter waits end before a further copy helps.
 constexpr double CrowdedWaitInFetches = 1.8;
-// At another node at once: this one is cut off.
+// Retry-After while this node is cut off from most of the others: another node can serve the request at once.
 constexpr Duration RetryAfterIsolated { 50 };
-// From the order for an adapter to the first event, in fetches: its load, a wait behind others' loads, and the reading of a long prompt.
+// Time from the order to load an adapter until the first event, in fetch times: the load itself, the wait behind other loads, and the
+// reading of a long prompt.
 constexpr double LoadAndAnswerInFetches = 2.8;
 constexpr int OkStatus = 200;
 constexpr int FirstErrorStatus = 300;
-// Statuses that promise that a request has not run; only this node's own knowledge may give such a promise.
+// Statuses that tell the caller that its request was not run. Only this node may decide that, so they are not forwarded from an upstream.
 constexpr int NotRunStatuses[] = { 408, 421, 429, 503 };
 
 bool isSuccess(int status)
@@ -85,8 +87,8 @@
     return m_deadline - now();
 }
 
-// How long the caller still waits for the first byte. Callers leave a stream that has not begun long before its deadline: one held beyond
-// that is lost, while one refused in time comes back and is served.
+// Returns how long the caller still waits for the first byte. Callers abandon a stream that has not begun long before its deadline. A
+// request held beyond that is lost, while one that is refused in time is retried by the caller and served.
 Duration RequestJob::firstByteTimeLeft() const
 {
     if (m_route.kind != RequestKind::Stream || m_isStreaming) {
@@ -186,7 +188,8 @@
     if (known == m_context.clusterState().versions.end() || copy->version == known->second.version) {
         return true;
     }
-    // An old copy serves while the new one is on its way, but never up to the bound: a request must have begun well before it.
+    // The previous version serves requests while the new one is being loaded, but only until 2.5 s before the bound, so that requests begin
+    // well before it.
     return now() - known->second.learnedAt < m_context.settings().adapterVersionBound - Duration(2500);
 }
 
@@ -203,7 +206,7 @@
     return result;
 }
 
-// Whether waiting can help: an adapter may come to stand somewhere.
+// Returns whether waiting can help, since the adapter may be loaded on some engine meanwhile.
 bool RequestJob::canWaitForAdapter() const
 {
     return needsAdapter() && !m_context.clusterState().upstreams.usable(m_service).empty()
@@ -248,8 +251,9 @@
     return Duration(static_cast<std::int64_t>(count * one));
 }
 
-// When waiting for an adapter cannot end in time: how long the caller had better stay away. Without this, requests at a node that is cut
-// off from those who order loads, or right after a restart of the whole fleet, are held until their callers leave, and nobody is told.
+// Returns the delay for Retry-After if the adapter cannot be loaded in time, else nothing. Without this check, requests at a node that is
+// cut off from the lease holders that order loads, or right after a restart of the whole fleet, would be held until their callers give up
+// without an answer.
 std::optional<Duration> RequestJob::retryDelayIfTooLate() const
 {
     const auto ordersIn = m_context.callbacks().ordersIn();
@@ -270,7 +274,7 @@
             { { "request", m_decoded.id }, { "adapter", adapter().adapter.value() },
                 { "ordersInMs", ordersIn ? ordersIn->milliseconds() : -1 }, { "leftMs", timeLeft().milliseconds() } });
     }
-    // Engines that refused before may take it now.
+    // Engines that refused the request before may accept it now.
     m_excluded.clear();
     m_context.callbacks().onPendingAdapters();
     m_context.loop().cancel(m_waitTimer);
@@ -357,7 +361,8 @@
     return call;
 }
 
-// Asked right before the first byte leaves: a process that slept wakes here with facts that are long past.
+// Called right before the first byte is sent. If the process was suspended, its knowledge of the upstream and the deadline may be stale by
+// now.
 bool RequestJob::maySend() const
 {
     const UpstreamRecord *record = m_context.clusterState().upstreams.usable(m_upstream.id);
@@ -431,7 +436,7 @@
 void RequestJob::watchForStall()
 {
     if (!isRepeatable()) {
-        return; // A silent upstream may still come back, and nothing else can take its place.
+        return; // The upstream may still continue, and the request must not be sent to another one.
     }
     m_context.loop().cancel(m_stallTimer);
     m_stallTimer = m_context.loop().after(StallCheckInterval, [weak = weak_from_this()] {
@@ -441,7 +446,7 @@
         }
         if (!self->m_isPaused && self->now() - self->m_lastReceivedAt > MaxStall) {
             self->m_context.loop().client().cancel(self->m_call);
-            return; // onDone() goes on from here.
+            return; // onDone() handles the cancelled call.
         }
         self->watchForStall();
     });
@@ -496,7 +501,7 @@
 void RequestJob::onAnswered()
 {
     if (!m_answer) {
-        onIncompleteAnswer(CallResult { AttemptState::Sent, 0, ErrorKind::UpstreamFailed, "an answer without a head" });
+        onIncompleteAnswer(CallResult { AttemptState::Sent, 0, ErrorKind::UpstreamFailed, "the answer has no head" });
         return;
     }
     if (m_answer->isNotRun) {
@@ -516,7 +521,7 @@
         return;
     }
     if (!m_events.rest().empty()) {
-        m_exchange->write(m_events.rest()); // The upstream ended well without a last empty line: its bytes go on as they are.
+        m_exchange->write(m_events.rest()); // The stream ended without a final empty line; the remaining bytes are forwarded unchanged.
     }
     m_exchange->finish();
     end(RequestOutcome::Served, "");
@@ -570,7 +575,7 @@
 {
     m_events.dropRest();
     if (!m_route.isResumable || m_possibleRuns >= m_route.maxAttempts) {
-        abortStream("the upstream broke off");
+        abortStream("the upstream did not finish the stream");
         return;
     }
     m_excluded.insert(m_upstream.id);
@@ -589,7 +594,8 @@
 
 void RequestJob::deliver(const Platform::UpstreamAnswer &answer, std::string body)
 {
-    // An upstream's own refusal without its word that nothing ran must not reach the caller as a promise of ours.
+    // These statuses tell the caller that it is safe to send the request again. The upstream did not state that it had not run the request,
+    // so they must not be forwarded.
     if (impliesNotRun(answer.status)) {
         refuse(ErrorKind::UpstreamFailed, RetryAfterRefusal);
         return;
@@ -599,7 +605,7 @@
     end(isServed ? RequestOutcome::Served : RequestOutcome::Failed, isServed ? "" : "the upstream failed");
 }
 
-// Nothing better came: the whole failure that an upstream gave, or one of ours.
+// Ends the request with the complete error answer of an upstream if there is one, else with an error of this node.
 void RequestJob::giveUp(ErrorKind kind)
 {
     if (m_failure && !m_isStreaming) {
@@ -616,7 +622,7 @@
         abortStream(std::string(errorAnswer(kind).word));
         return;
     }
-    // Wherever a job gives up: what an upstream may have begun is never promised as not run, or the caller runs it a second time.
+    // Never report a request as not run if an upstream may have begun it, or the caller would run it a second time.
     const bool wouldClaimNotRun = m_executionState == ExecutionState::MayHaveRun && errorAnswer(kind).runState == RunState::NotRun;
     const ErrorKind reportedKind = wouldClaimNotRun ? ErrorKind::UpstreamFailed : kind;
     const bool isNotRun = errorAnswer(reportedKind).runState == RunState::NotRun;
--- a/main/entry/requestjob.h
+++ b/main/entry/requestjob.h
@@ -14,7 +14,7 @@
 namespace ApricotStep
 {
 
-/** What a job needs from its forwarder. */
+/** Services that the forwarder provides to its jobs. */
 class RequestContext
 {
 public:
@@ -26,16 +26,16 @@
     virtual const ForwarderSettings &settings() const = 0;
     virtual const ForwarderCallbacks &callbacks() const = 0;
     virtual std::mt19937_64 &random() = 0;
-    /** Takes one arrival beyond the first out of the service's budget; false when none is left. */
+    /** Takes one retry out of the retry budget of @p service; returns false if none is left. */
     virtual bool takeRetry(const ServiceName &service) = 0;
-    /** Requests for this adapter wait long at all its copies. */
+    /** Reports that requests for @p adapter wait too long at every engine that has it loaded. */
     virtual void reportCrowded(const AdapterRef &adapter) = 0;
-    /** A request reached its service for the first time. */
+    /** Called once per request, when it first reaches its service; adds to the retry budget. */
     virtual void reportFirstArrival(const ServiceName &service) = 0;
     virtual void onEnded(std::uint64_t job) = 0;
 };
 
-/** One attempt of a caller, from its arrival to the end of its answer. */
+/** Handles one request of a caller, from its arrival to the end of its answer. */
 class RequestJob : public std::enable_shared_from_this<RequestJob>
 {
 public:
@@ -43,24 +43,24 @@
         std::shared_ptr<const RouteTable> table, const Route &route, std::shared_ptr<HttpExchange> exchange);
 
     void start();
-    /** Looks for an upstream again; only does something while the job waits for one. */
+    /** Tries again to choose an upstream; does nothing unless the job is waiting for one. */
     void retryPlacement();
-    /** What this job runs on or waits for; empty when it needs no adapter. */
+    /** Returns the adapter that this job runs on or waits for; empty if it needs none. The first call counts the job as new. */
     std::optional<AdapterUse> adapterUse();
-    /** The adapter that this job waits for, if it does. */
+    /** Returns the adapter that this job waits for, if any. */
     std::optional<AdapterUse> pendingAdapter() const;
 
 private:
     enum class Phase {
-        /** For an upstream that can take it. */
+        /** No upstream can take the request yet. */
         Waiting,
-        /** At an upstream, which has not answered. */
+        /** Sent to an upstream that has not answered yet. */
         Sent,
-        /** The answer's head has come and the body goes on to the caller or is gathered. */
+        /** The answer's head was received; its body is being streamed to the caller or buffered. */
         Answering,
         Ended,
     };
-    /** How the upstreams that were tried left the request. */
+    /** Whether any upstream tried so far may have run the request. */
     enum class ExecutionState {
         NotRun,
         MayHaveRun,
@@ -78,7 +78,7 @@
     void wait();
     std::vector<UpstreamOption> options();
     AdapterUse waitingAdapterUse() const;
-    /** The time that so many fetches of an adapter take, as observed. */
+    /** Returns the time that @p count fetches of an adapter take, from the shortest fetch observed. */
     Duration fetchTime(double count) const;
     bool isUsable(const UpstreamRecord &record);
     bool canWaitForAdapter() const;
@@ -96,7 +96,7 @@
     void onStreamInterrupted();
     void onServerFailure();
     void endAttempt();
-    /** Ends the attempt in progress, which tells its upstream to stop; false when there is none. */
+    /** Cancels the attempt in progress, which tells its upstream to stop; returns false if there is none. */
     bool cancelAttempt();
     void retryOrGiveUp(ErrorKind kind);
 
@@ -114,7 +114,7 @@
     std::uint64_t m_number;
     HttpRequest m_request;
     Platform::CallerRequest m_decoded;
-    /** Keeps the route alive: a change of the configuration never moves a request that has begun. */
+    /** Keeps m_route alive; a request keeps the configuration that was in force when it arrived. */
     std::shared_ptr<const RouteTable> m_table;
     const Route &m_route;
     ServiceName m_service;
@@ -124,11 +124,14 @@
     Time m_deadline;
     Phase m_phase = Phase::Waiting;
     ExecutionState m_executionState = ExecutionState::NotRun;
-    /** Upstreams that may have begun to run it. */
+    /** Number of attempts that an upstream may have begun to run. */
     int m_possibleRuns = 0;
+    /** Number of attempts that may have reached an upstream. */
     int m_attemptsSent = 0;
+    /** Whether adapterUse() has counted this job as new. */
     bool m_isCounted = false;
     bool m_hasWaited = false;
+    /** Upstreams that refused or failed the request or could not be reached; not chosen again until the job waits. */
     std::set<UpstreamId> m_excluded;
     TimerId m_deadlineTimer = 0;
     TimerId m_waitTimer = 0;
@@ -140,15 +143,16 @@
     AdapterVersion m_version;
     std::optional<Platform::UpstreamAnswer> m_answer;
     std::string m_body;
+    /** The engine has not read the prompt yet, so the load tracker still counts its tokens as pending. */
     bool m_isPromptPending = false;
     Time m_sentAt;
     Time m_lastReceivedAt;
 
-    // Of a stream that goes to the caller.
+    // State of a stream that is being sent to the caller.
     bool m_isStreaming = false;
     bool m_isPaused = false;
     EventSplitter m_events;
-    /** A server's own failure, kept to be handed on if nothing better comes. */
+    /** An upstream's error answer, forwarded to the caller if no retry gives a better one. */
     std::optional<Platform::UpstreamAnswer> m_failure;
     std::string m_failureBody;
 };
