--- a/main/entry/entrymetrics.cpp
+++ b/main/entry/entrymetrics.cpp
@@ -14,7 +14,8 @@
 namespace
 {
 
-// From one round trip to the longest deadline of a stream; each bound about doubles, so that the objectives of 0.1, 0.3, 0.6 and 1 s show.
+// The bounds reach from one round trip to the longest deadline of a stream. Each is about twice the previous one, and the latency
+// objectives of 0.1, 0.3, 0.6 and 1 s are among them.
 const prometheus::Histogram::BucketBoundaries BucketBounds { 0.025, 0.05, 0.1, 0.2, 0.3, 0.6, 1, 2, 5, 15 };
 
 const char *kindName(RequestKind kind)
--- a/main/entry/entrymetrics.h
+++ b/main/entry/entrymetrics.h
@@ -14,19 +14,20 @@
 /** How a caller's request ended. */
 enum class RequestOutcome {
     Served,
-    /** Not run, and the caller was told. */
+    /** Not run; the caller received an error that says so. */
     Refused,
-    /** It may have run, and has no whole answer. */
+    /** It may have run, but the caller received no complete answer. */
     Failed,
-    /** Its answer broke off after its begin. */
+    /** The answer began but was cut off before its end. */
     Truncated,
+    /** The caller closed its connection first. */
     CallerGone,
 };
 
-/** The word for @p outcome in logs and metrics. */
+/** Returns the name of @p outcome in logs and metrics. */
 const char *outcomeName(RequestOutcome outcome);
 
-/** Facts that are read when metrics are asked for. */
+/** Values that are sampled when metrics are scraped. */
 struct EntryGauges
 {
     std::uint64_t configVersion = 0;
@@ -38,24 +39,29 @@
     bool isReady = false;
 };
 
-/** Counters and histograms of an entry node, in Prometheus' text form. The number of series does not grow with routes or upstreams. */
+/**
+ * Counters and histograms of an entry node in the Prometheus text format.
+ *
+ * No label names a route or an upstream, so the number of time series stays bounded.
+ */
 class EntryMetrics
 {
 public:
     EntryMetrics();
     ~EntryMetrics();
 
-    /** @p took: from the arrival. */
+    /** Counts a finished request; @p took is measured from its arrival. */
     void requestEnded(RequestKind kind, RequestOutcome outcome, Duration took);
-    /** The first byte of an answer came @p after the arrival. */
+    /** Records that the answer of a stream began @p after its request arrived. */
     void answerBegan(RequestKind kind, Duration after);
-    /** A request was sent to an upstream @p waited after its arrival; @p isRepeat: not for the first time. */
+    /** Records that a request was sent to an upstream @p waited after its arrival. @p isRepeat is set if it had been sent before. */
     void sent(RequestKind kind, Duration waited, bool isRepeat);
-    /** An upstream refused before execution, failed, or broke off. */
+    /** Counts an attempt that an upstream refused before execution ("not_run"), failed ("failed") or left incomplete ("broken"). */
     void upstreamFailed(std::string_view what);
-    /** An engine answered an order; @p answer: one of a closed list of words. */
+    /** Counts an engine's answer to an order. @p answer comes from a fixed list, since each value creates a time series. */
     void order(std::string_view answer);
 
+    /** Returns all metrics, with @p gauges as the current values of the gauges. */
     std::string text(const EntryGauges &gauges) const;
 
 private:
--- a/main/entry/eventlog.cpp
+++ b/main/entry/eventlog.cpp
@@ -13,8 +13,8 @@
 namespace
 {
 
-// A node serves some tens of requests a second with three lines each; five times that is a burst worth reading. Lines on requests may use
-// four fifths, so that refusals and changes of belief are written even then.
+// A node serves some tens of requests per second and writes three lines for each; the limit allows bursts of five times that rate. Lines
+// about requests may use four fifths of it, so that refusals and changes of the cluster state are still written during a burst.
 constexpr int LinesPerSecond = 500;
 constexpr int RequestLinesPerSecond = 400;
 
--- a/main/entry/eventlog.h
+++ b/main/entry/eventlog.h
@@ -20,29 +20,29 @@
 };
 
 /**
- * Writes one line of JSON to standard output for each decision that touches a request or changes what the process believes.
+ * Writes one JSON line to standard output for each decision about a request and each change of the node's cluster state.
  *
- * A line that standard output would block on is dropped, and so are lines beyond a bound a second: a collector that stands still, or a
- * burst of refusals, must not make callers wait. Dropped lines are counted, and the count stands in the next line that is written.
+ * A line is dropped if writing it would block, or if the limit of lines per second is reached. Otherwise a stalled log collector or a burst
+ * of refusals would delay requests. The next line that is written contains the number of lines dropped before it.
  */
 class EventLog
 {
 public:
-    /** What a line is about; lines on requests are dropped before the others. */
+    /** How important a line is. Lines about the normal course of requests are dropped first. */
     enum class Severity {
-        /** One step of a request that goes well. */
+        /** A step in the normal course of a request. */
         Routine,
-        /** A refusal, a failure, a change of belief, the process itself. */
+        /** A refusal, a failure, a change of the cluster state or an event of the process itself. */
         Important,
     };
 
-    /** @p node stands in each line. */
+    /** @p node is written in each line. */
     EventLog(const Clock &clock, std::string node);
     ~EventLog();
 
-    /** @p part: the part of the program; @p event: what happened, a word of docs/LOGS.md. */
+    /** Writes a line. @p part is the part of the program; @p event is what happened, one of the events in docs/LOGS.md. */
     void write(Severity severity, std::string_view part, std::string_view event, std::initializer_list<LogField> fields);
-    /** Lines dropped since the start. */
+    /** Returns the number of lines dropped since the process started. */
     std::uint64_t dropped() const;
 
 private:
--- a/main/entry/refusal.h
+++ b/main/entry/refusal.h
@@ -7,19 +7,19 @@
 namespace ApricotStep
 {
 
-/** What stands beside the error in a refusal. */
+/** Optional parts of a refusal. */
 struct RefusalOptions
 {
-    /** When the caller may come back; zero gives no advice. */
+    /** When the caller should try again; sent as Retry-After. Zero sends no such header. */
     Duration retryAfter;
-    /** The answer ends its connection, since this node leaves. */
+    /** Closes the connection after the answer, because this node is leaving. */
     bool closesConnection = false;
 };
 
-/** Answers with the row of the error table for @p kind. */
+/** Answers with the HTTP status and error body that the error table defines for @p kind. */
 void refuse(HttpExchange &exchange, ErrorKind kind, const RefusalOptions &options);
 
-/** @p headers, and the end of the connection where @p closesConnection. */
+/** Returns @p headers, with "Connection: close" added if @p closesConnection. */
 HttpHeaders withConnectionHeader(HttpHeaders headers, bool closesConnection);
 
 } // namespace ApricotStep
--- a/main/entry/tracecommand.cpp
+++ b/main/entry/tracecommand.cpp
@@ -17,10 +17,10 @@
 
 constexpr int NotFoundExit = 1;
 constexpr int UsageExit = 2;
-// Beliefs that changed shortly before a request arrived decided it, too.
+// State changes shortly before the arrival of a request affect how it is handled, so they are included.
 constexpr std::int64_t LookbackMs = 3000;
 
-/** What a request's own lines tell of where and when it ran. */
+/** Nodes, upstreams and time range that the log lines of a request name. */
 struct RequestSpan
 {
     std::set<std::string> nodes;
@@ -109,7 +109,7 @@
     }
     const RequestSpan span = findSpan(lines, options.request);
     if (span.nodes.empty()) {
-        errors << "no line names request " << options.request << "\n";
+        errors << "no log line names request " << options.request << "\n";
         return NotFoundExit;
     }
     std::erase_if(lines, [&](const Json &line) { return !isRelevant(line, options.request, span); });
