--- a/tests/platform/testrecords.cpp
+++ b/tests/platform/testrecords.cpp
@@ -67,7 +67,7 @@
 
 } // namespace
 
-Test(records, aConfigurationIsDecodedOnce)
+Test(records, configurationIsDecoded)
 {
     const auto source = decodeConfiguration(Configuration);
     cr_assert(source.isOk(), "%s", source.isOk() ? "" : source.error().detail.c_str());
@@ -82,8 +82,9 @@
     cr_assert_eq(source.value().limits.bodyBytes, 1000);
 }
 
-// An operator's slip must name its place and leave the last good configuration in force, never become a zero that is taken for a figure.
-Test(records, aConfigurationWithAFaultNamesIt)
+// A configuration with a fault must be rejected with an error that names the field, so that the last valid one stays in force. A faulty
+// field must never be read as a valid zero.
+Test(records, errorOfInvalidConfigurationNamesField)
 {
     const auto faultOf = [](const std::string &from, const std::string &to) {
         const auto decoded = decodeConfiguration(replaced(Configuration, from, to));
@@ -99,7 +100,7 @@
     cr_assert_not(decodeConfiguration("[]").isOk());
 }
 
-Test(records, anUpstreamsEntryIsDecodedOnce)
+Test(records, upstreamRecordIsDecoded)
 {
     const auto record = decodeUpstream(UpstreamId("u"), UpstreamEntry);
     cr_assert(record.isOk(), "%s", record.isOk() ? "" : record.error().detail.c_str());
@@ -109,9 +110,9 @@
     cr_assert(decodeUpstream(UpstreamId("u"), replaced(UpstreamEntry, "ready", "draining")).value().isLeaving);
 }
 
-// Entries come from other writers, too: fields missing or of another type, states that nobody knows, bytes that are no JSON. Such an entry
-// names no upstream; one that was taken for a whole one would get requests that run nowhere.
-Test(records, anEntryThatIsNotWholeNamesNoUpstream)
+// Records in the store are written by other programs and may have missing fields, wrong types or unknown states, or not be JSON at all.
+// They must be rejected, or requests would be sent to an upstream that does not exist.
+Test(records, incompleteUpstreamRecordIsRejected)
 {
     const auto isRejected = [](const std::string &from, const std::string &to) {
         return !decodeUpstream(UpstreamId("u"), replaced(UpstreamEntry, from, to)).isOk();
@@ -128,11 +129,11 @@
         for (int change = 0; change < 3; ++change) {
             bytes[random() % bytes.size()] = static_cast<char>(random());
         }
-        static_cast<void>(decodeUpstream(UpstreamId("u"), bytes).isOk()); // Either way, without a crash.
+        static_cast<void>(decodeUpstream(UpstreamId("u"), bytes).isOk()); // The result does not matter; it must not crash.
     }
 }
 
-Test(records, keysTellWhatTheyAreAbout)
+Test(records, storeKeysAreDecodedToTheirKind)
 {
     cr_assert(std::holds_alternative<ConfigurationKey>(decodeKey("op/config")));
     cr_assert(std::holds_alternative<AdapterVersionKey>(decodeKey("op/version/m.a1")));
@@ -144,7 +145,7 @@
     cr_assert_not(decodeAdapterVersion(R"({"model":"m","adapter":"a1"})").isOk());
 }
 
-Test(store, whatIsEncodedForPeersIsDecoded)
+Test(store, encodedWatchIsDecodedUnchanged)
 {
     const auto page =
         decodeWatch(encodeWatch({ StoreItem { "op/config", "\x01\xff", 7, false }, StoreItem { "servers/u", "", 8, true } }, 9));
@@ -155,8 +156,8 @@
     cr_assert(rangeTarget("a b", "k/1").find("pathPrefix=a%20b&after=k/1") != std::string::npos);
 }
 
-// A watch brings deletions, and an answer of the store may be broken on its way. What cannot be read is an error, never an empty store.
-Test(store, deletionsAreToldAndBrokenAnswersAreErrors)
+// A watch must report deletions. An invalid or truncated answer of the store must be an error and never be read as an empty store.
+Test(store, deletionsAreDecodedAndInvalidAnswersAreErrors)
 {
     const auto page = decodeWatch(R"({"events":[{"key":"servers/u","revision":4,"tombstone":true}],"storeRevision":4})");
     cr_assert(page.value().items[0].isDeleted);
@@ -165,7 +166,7 @@
     cr_assert_not(decodeRange("").isOk());
 }
 
-Test(enginecalls, anOrderNamesItsHolderAndReportsAreRead)
+Test(enginecalls, orderNamesLeaseHolderAndReportIsDecoded)
 {
     const EngineOrder order { EngineOrder::Kind::Load, BaseModelId("m"), AdapterId("a1"), AdapterVersion("3"), UpstreamId("u") };
     const std::string body = orderBody(order, OrderAuthority { NodeId("n"), FencingToken(41) });
@@ -177,8 +178,8 @@
     cr_assert(decodeOrderAnswer(202) == OrderAnswer::Accepted && decodeOrderAnswer(500) == OrderAnswer::Refused);
 }
 
-// A settings file that lacks a field stops the process with the field's name; unknown fields are left aside.
-Test(settings, faultsNameTheField)
+// A missing or invalid field must be an error that names it, so that the process does not start without it. Unknown fields are ignored.
+Test(settings, errorNamesField)
 {
     const auto settings = decodeSettings(Settings);
     cr_assert(settings.isOk(), "%s", settings.isOk() ? "" : settings.error().detail.c_str());
--- a/tests/platform/testrequests.cpp
+++ b/tests/platform/testrequests.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-Test(requests, aCallersHeadersAreDecodedOnce)
+Test(requests, callerHeadersAreDecoded)
 {
     const auto decoded =
         decodeCallerRequest(requestWith({ { "Host", "h" }, { "Apricotstep-Request-Id", "r" }, { "Apricotstep-Deadline-Ms", "500" },
@@ -42,8 +42,8 @@
     cr_assert_eq(decoded.generation->promptTokens, 1460);
 }
 
-// Numbers of a caller may be absurd. They count as not said, and no sum of times overflows.
-Test(requests, absurdNumbersCountAsNotSaid)
+// Invalid numbers in a caller's headers must count as missing, and huge ones must be limited so that sums of times do not overflow.
+Test(requests, invalidNumbersCountAsMissing)
 {
     cr_assert_not(decodeCallerRequest(requestWith({ { "Apricotstep-Deadline-Ms", "-5" } })).deadline.has_value());
     cr_assert_not(decodeCallerRequest(requestWith({ { "Apricotstep-Deadline-Ms", "soon" } })).deadline.has_value());
@@ -58,8 +58,9 @@
     cr_assert_eq(decoded.generation->promptTokens, 0);
 }
 
-// What only the system may set never comes from a caller, however it is spelled; and what binds the request stands there once.
-Test(requests, systemHeadersAreTheSystemsOwn)
+// Headers that only the system may set must be removed from a caller's request in any spelling, and those that bind the request to its
+// upstream must be present exactly once.
+Test(requests, systemHeadersOfCallerAreReplaced)
 {
     const HttpRequest request = requestWith({ { "Host", "h" }, { "APRICOTSTEP-HOLD", "x" }, { "Apricotstep-Pin-Ms", "1" },
         { "Apricotstep-Kv-Backup", "1.2.3.4:1" }, { "kv-from", "1" }, { "Apricotstep-Expect-Instance", "other" },
@@ -79,7 +80,7 @@
     }
 }
 
-Test(requests, anUpstreamsAnswerTellsWhetherItRan)
+Test(requests, upstreamAnswerIsDecoded)
 {
     const auto refused = decodeUpstreamAnswer(503, { { "apricotstep-not-run", "1" }, { "apricotstep-request-id", "r" } });
     cr_assert(refused.isNotRun && refused.requestId == "r");
@@ -88,6 +89,6 @@
     const auto answer = decodeUpstreamAnswer(
         200, { { "apricotstep-server-seal", "s" }, { "connection", "close" }, { "content-length", "3" }, { "x-own", "1" } });
     cr_assert(answer.isSealed);
-    cr_assert_eq(answer.callerHeaders.size(), 2, "the seal and the upstream's own header go on, those of the connection do not");
+    cr_assert_eq(answer.callerHeaders.size(), 2, "the seal and the upstream's own header are forwarded, connection headers are not");
     cr_assert(decodeUpstreamAnswer(200, { { "content-encoding", "gzip" } }).isEncoded);
 }
