--- a/tests/main/scriptedupstream.h
+++ b/tests/main/scriptedupstream.h
@@ -12,22 +12,23 @@
 namespace Rig
 {
 
-/** What a scripted upstream does with one request. */
+/** Defines how a scripted upstream answers one request. */
 struct ScriptedAnswer
 {
-    /** Bytes to send, as they are. "{id}" stands for the request's id. */
+    /** Raw bytes to send; "{id}" is replaced by the id of the request. */
     std::string bytes;
+    /** What happens to the connection after the bytes. */
     enum class ConnectionAction {
         Keep,
         Close,
         Reset,
     };
     ConnectionAction connectionAction = ConnectionAction::Keep;
-    /** Waits for the other side to close after the bytes. */
+    /** After the bytes, sends nothing more and waits until the peer closes the connection. */
     bool isHanging = false;
 };
 
-/** A TCP server on a free port of 127.0.0.1 that answers requests with bytes of a script, broken ones too. */
+/** A TCP server on a free port of 127.0.0.1 that answers with bytes chosen by the test, which need not be valid HTTP. */
 class ScriptedUpstream
 {
 public:
@@ -40,13 +41,14 @@
     {
         return "127.0.0.1:" + std::to_string(m_port);
     }
-    /** Heads and bodies of the requests that came, in order. */
+    /** Returns heads and bodies of the requests received so far, in order. */
     std::vector<std::string> requests() const;
+    /** Returns the number of connections accepted so far. */
     int connections() const
     {
         return m_connections;
     }
-    /** Connections that the other side has closed. */
+    /** Returns the number of connections that the peer closed while the upstream was hanging. */
     int closedByPeer() const
     {
         return m_closedByPeer;
--- a/tests/main/testrequestforwarder.cpp
+++ b/tests/main/testrequestforwarder.cpp
@@ -31,7 +31,7 @@
     return absl::StrCat(absl::Hex(text.size()), "\r\n", text, "\r\n");
 }
 
-/** A forwarder before scripted upstreams of one service, on a loop that the test drives. */
+/** A forwarder with one service of scripted upstreams, on a loop that the test runs. */
 struct ForwarderFixture
 {
     SystemClock clock;
@@ -105,7 +105,7 @@
         forwarder->onRequest(std::move(httpRequest), caller);
         return caller;
     }
-    /** Drives the loop until @p isDone, two seconds at most. */
+    /** Runs the loop until @p isDone returns true, for at most two seconds. */
     void runUntil(const std::function<bool()> &isDone)
     {
         const Time end = clock.now() + Duration(2000);
@@ -123,9 +123,9 @@
 
 } // namespace
 
-// A lookup fails with a whole answer at one upstream and is tried at another, which dies in the middle of its answer. The caller would read
-// half a timetable as a whole one.
-Test(requestforwarder, halfAnAnswerIsNeverDeliveredAsWhole)
+// One upstream answers an idempotent request with a complete error, and the second one closes the connection in the middle of its answer.
+// The incomplete answer must not reach the caller as a complete one; the caller gets the error of the first upstream.
+Test(requestforwarder, incompleteAnswerIsNotDelivered)
 {
     int calls = 0;
     const ScriptedUpstream first([&](const std::string &) {
@@ -145,9 +145,9 @@
     cr_assert_eq(calls, 2);
 }
 
-// A payment goes out on a connection that the upstream closes after it has read it. A client library that sends it again on a new
-// connection charges the family twice.
-Test(requestforwarder, aNonIdempotentRequestLeavesOnceOnAKeptConnection)
+// The upstream reads a payment on a reused connection and then closes it. If the client library sent the request again on a new connection,
+// the payment would run twice.
+Test(requestforwarder, nonIdempotentRequestIsSentOnceOnReusedConnection)
 {
     int calls = 0;
     const ScriptedUpstream upstream([&](const std::string &) {
@@ -165,8 +165,9 @@
     cr_assert_eq(upstream.requests().size(), 2);
 }
 
-// An upstream says that it was full and did not run a payment. It may go to another one, and the caller never learns of the first.
-Test(requestforwarder, aRefusalBeforeExecutionIsTriedElsewhere)
+// An upstream refuses a payment because it is full and states that it did not run it. The request must be sent to another upstream and
+// succeed, without the caller seeing the refusal.
+Test(requestforwarder, refusalBeforeExecutionIsRetriedAtAnotherUpstream)
 {
     const ScriptedUpstream full([](const std::string &) { return ScriptedAnswer { NotRunAnswer }; });
     const ScriptedUpstream free([](const std::string &) { return ScriptedAnswer { CompleteAnswer }; });
@@ -181,9 +182,9 @@
     }
 }
 
-// An upstream answers 503 without its word that it did not run the payment. Passed on, it would be a promise, and the caller would pay
-// again.
-Test(requestforwarder, aRefusalThatPromisesNothingIsNoPromiseOfOurs)
+// An upstream answers a payment with 503 but does not state that it did not run it. If the 503 were forwarded, the caller would take the
+// payment as not run and send it again.
+Test(requestforwarder, refusalWithoutNotRunStatementIsNotForwarded)
 {
     const ScriptedUpstream upstream([](const std::string &) {
         return ScriptedAnswer {
@@ -198,9 +199,9 @@
     cr_assert_eq(caller->status(), 502);
 }
 
-// A late answer to an earlier request stands on the connection where the next answer is due. Passed on, a caller reads somebody else's
-// balance.
-Test(requestforwarder, anAnswerToAnotherRequestIsNotPassedOn)
+// A late answer to an earlier request arrives on the connection where the next answer is expected. If it were forwarded, a caller would
+// read data of somebody else, such as an account balance.
+Test(requestforwarder, answerToAnotherRequestIsNotForwarded)
 {
     const ScriptedUpstream upstream([](const std::string &) {
         return ScriptedAnswer {
@@ -216,9 +217,9 @@
     cr_assert(caller->body().find("other") == std::string::npos);
 }
 
-// Path, query and body go on byte for byte. Headers of the caller's connection, and those that only the system may set, do not: a caller
-// could else run on memory that belongs to somebody else's request.
-Test(requestforwarder, aRequestGoesOnAsItCameWithoutForgedHeaders)
+// Path, query and body must be forwarded byte for byte, but neither connection headers nor headers that only the system may set. With the
+// latter, a caller could run its request on engine memory that belongs to somebody else's request.
+Test(requestforwarder, requestIsForwardedUnchangedWithoutForgedHeaders)
 {
     const ScriptedUpstream upstream([](const std::string &) { return ScriptedAnswer { CompleteAnswer }; });
     ForwarderFixture fixture;
@@ -238,9 +239,9 @@
     }
 }
 
-// A stream breaks off in the middle of an event. Another upstream goes on after the last whole one, and the caller reads one stream without
-// a gap, a double or a torn event.
-Test(requestforwarder, aResumableStreamGoesOnAtAnotherUpstream)
+// An upstream resets a stream in the middle of an event. Another upstream must continue it after the last complete event, so that no event
+// is missing, duplicated or cut for the caller.
+Test(requestforwarder, resumableStreamContinuesAtAnotherUpstream)
 {
     int calls = 0;
     const auto script = [&](const std::string &request) {
@@ -263,8 +264,9 @@
     cr_assert(caller->isFinished());
 }
 
-// A stream that may not be resumed breaks off. It must not end as if it were whole, and nothing else may run it.
-Test(requestforwarder, aBrokenStreamThatMayNotBeResumedDoesNotLookWhole)
+// An upstream ends a stream early that is not resumable. The answer to the caller must not look complete, and no other upstream may run the
+// request.
+Test(requestforwarder, brokenNonResumableStreamDoesNotLookComplete)
 {
     const auto script = [](const std::string &) {
         return ScriptedAnswer { absl::StrCat(StreamHead, chunk("id: 1\ndata: a\n\n")), ScriptedAnswer::ConnectionAction::Close };
@@ -281,8 +283,8 @@
     cr_assert_eq(first.requests().size() + second.requests().size(), 1);
 }
 
-// A caller closes its connection while an upstream still works for it. The upstream is told at once by a closed connection.
-Test(requestforwarder, aCallerThatLeavesStopsItsUpstream)
+// A caller closes its connection while an upstream works on its request. The connection to the upstream must be closed so that it stops.
+Test(requestforwarder, callerDisconnectStopsUpstream)
 {
     const ScriptedUpstream upstream([](const std::string &) {
         return ScriptedAnswer { "", ScriptedAnswer::ConnectionAction::Keep, true };
@@ -297,8 +299,8 @@
     cr_assert_eq(upstream.closedByPeer(), 1);
 }
 
-// A node that has just started knows no routes. A 404 would be believed, and the caller would not come back.
-Test(requestforwarder, withoutAConfigurationRequestsAreRefusedForNow)
+// A node that has just started has no routes. It must answer 503 with Retry-After: after a 404, the caller would not try again.
+Test(requestforwarder, requestsAreRefusedTemporarilyWithoutConfiguration)
 {
     ForwarderFixture fixture;
     const auto caller = fixture.send(ForwarderFixture::request());
@@ -306,8 +308,8 @@
     cr_assert(caller->hasHeader("Retry-After"));
 }
 
-// What no route takes, what names no request and what is too large gets a clear error, and no upstream sees it.
-Test(requestforwarder, whatCannotBeForwardedGetsAClearError)
+// A request that matches no route, has no request id or is too large must be answered with the matching error and not reach an upstream.
+Test(requestforwarder, invalidRequestsAreRefusedWithMatchingError)
 {
     const ScriptedUpstream upstream([](const std::string &) { return ScriptedAnswer { CompleteAnswer }; });
     ForwarderFixture fixture;
@@ -325,8 +327,8 @@
     cr_assert(upstream.requests().empty());
 }
 
-// No upstream is left, or none ever came: the caller is told at once that nothing ran and when to come back.
-Test(requestforwarder, withoutAnUpstreamTheCallerIsToldAtOnce)
+// Without any upstream, a request must be refused at once, as not run and with the time of the next try.
+Test(requestforwarder, requestWithoutUpstreamIsRefusedAtOnce)
 {
     ForwarderFixture fixture;
     fixture.configure(RequestKind::NonIdempotent, 1);
@@ -335,9 +337,10 @@
     cr_assert(caller->hasHeader("Retry-After"));
 }
 
-// No engine holds the adapter, and nobody can order its load for three seconds. The caller waits fifteen seconds for the whole answer, but
-// only two and a half for its first word: held, it would leave without a word. It is told at once when to come back.
-Test(requestforwarder, aStreamThatCannotBeginInTimeIsRefusedAtOnce)
+// No engine has loaded the adapter, and its load cannot be ordered for three seconds. The caller waits fifteen seconds for the complete
+// answer but abandons the stream if it has not begun after about two and a half seconds. The request must be refused at once with
+// Retry-After; if it were held, the caller would leave without an answer.
+Test(requestforwarder, streamThatCannotBeginInTimeIsRefusedAtOnce)
 {
     const ScriptedUpstream upstream([](const std::string &) { return ScriptedAnswer { CompleteAnswer }; });
     ForwarderFixture fixture;
@@ -351,16 +354,16 @@
     cr_assert_eq(refused->status(), 503);
     cr_assert(refused->hasHeader("Retry-After"));
     fixture.ordersIn = std::nullopt;
-    cr_assert_eq(fixture.send(request)->status(), 503, "cut off from those who order: another node may serve it");
+    cr_assert_eq(fixture.send(request)->status(), 503, "cut off from the lease holders; another node may serve the request");
     fixture.ordersIn = Duration(500);
     const auto waiting = fixture.send(request);
     cr_assert_not(waiting->isDone());
     cr_assert(upstream.requests().empty());
 }
 
-// An upstream breaks off before the first event of a stream that may be resumed, so it may have run there. No other engine holds the
-// adapter, and nobody orders loads. The answer must not promise that nothing ran.
-Test(requestforwarder, whatMayHaveRunIsNeverRefusedAsNotRun)
+// An upstream closes the connection before the first event of a resumable stream, so the request may have run. No other engine has loaded
+// the adapter, and no node can order loads. The answer must not state that the request was not run.
+Test(requestforwarder, requestThatMayHaveRunIsNotRefusedAsNotRun)
 {
     const ScriptedUpstream upstream([](const std::string &) { return ScriptedAnswer { "", ScriptedAnswer::ConnectionAction::Close }; });
     ForwarderFixture fixture;
--- a/tests/main/testtracecommand.cpp
+++ b/tests/main/testtracecommand.cpp
@@ -21,9 +21,9 @@
 
 } // namespace
 
-// A caller complains about one request. Its lines lie in the logs of many nodes among thousands of others; what its node believed of the
-// upstream that it was sent to belongs to the story, what other nodes believed of others does not.
-Test(trace, theStoryOfOneRequestIsPutInOrder)
+// A trace must contain the lines of the request and those of its node about the upstream that it was sent to, ordered by time. Lines of
+// other nodes, requests and upstreams must not be included.
+Test(trace, linesOfOneRequestArePrintedInOrder)
 {
     const std::string first =
         writeFile("a", R"(  0.5 n1 {"at":1500,"node":"n1","part":"request","event":"sent","request":"r1","upstream":"u1"}
