--- a/main/entry/clusterstate.h
+++ b/main/entry/clusterstate.h
@@ -38,15 +38,15 @@
     OutlierDetector outliers { OutlierLimits {} };
 
     /** Whether @p residency was news. */
-    bool putRow(const EngineResidency &residency, Time now)
+    bool updateResidency(const EngineResidency &residency, Time now)
     {
-        const bool isNews = residencies.put(residency);
-        if (isNews) {
+        const bool isNewer = residencies.put(residency);
+        if (isNewer) {
             loadEstimator.onResidency(residency, now);
         }
-        return isNews;
+        return isNewer;
     }
-    void forgetRow(const UpstreamId &engine)
+    void removeResidency(const UpstreamId &engine)
     {
         residencies.remove(engine);
         loadEstimator.remove(engine);
--- a/main/entry/entrynode.cpp
+++ b/main/entry/entrynode.cpp
@@ -85,7 +85,7 @@
     Result<HttpServer *> listen(const std::string &address, HttpHandler handler);
     void makeParts();
     bool isReady() const;
-    void onChanges(const BeliefChanges &changes);
+    void onChanges(const ClusterStateChanges &changes);
     void answerDirectory(const HttpRequest &request, HttpExchange &exchange);
     void answerReadiness(const HttpRequest &request, HttpExchange &exchange) const;
     void answerMetrics(const HttpRequest &request, HttpExchange &exchange) const;
@@ -104,7 +104,7 @@
 void EntryNode::Private::makeParts()
 {
     store = std::make_unique<StoreReader>(loop, log, clusterState, settings.storeAddress, settings.configurationBound,
-        [this](const BeliefChanges &changes) { onChanges(changes); });
+        [this](const ClusterStateChanges &changes) { onChanges(changes); });
     peers = std::make_unique<PeerService>(loop, log, *store);
 
     FleetLink::Callbacks fleetCallbacks;
@@ -203,7 +203,7 @@
     return fleet->start();
 }
 
-void EntryNode::Private::onChanges(const BeliefChanges &changes)
+void EntryNode::Private::onChanges(const ClusterStateChanges &changes)
 {
     for (const UpstreamChange &change : changes.upstreams) {
         std::visit(Overloaded {
@@ -215,7 +215,7 @@
                        },
                        [](const UpstreamUpdated &) {},
                        [this](const UpstreamLeft &left) {
-                           clusterState.forgetRow(left.id);
+                           clusterState.removeResidency(left.id);
                            clusterState.outliers.remove(left.id);
                            log.write(EventLog::Severity::Important, "upstream", "left",
                                { { "upstream", left.id.value() }, { "reason", left.reason } });
--- a/main/entry/fleetlink.cpp
+++ b/main/entry/fleetlink.cpp
@@ -449,7 +449,7 @@
     }
     bool isNews = false;
     for (const EngineResidency &residency : message.residencies) {
-        isNews = clusterState.putRow(residency, now()) || isNews;
+        isNews = clusterState.updateResidency(residency, now()) || isNews;
     }
     if (isNews) {
         callbacks.onRows();
@@ -547,7 +547,7 @@
 {
     for (const EngineResidency &residency : residencies) {
         d->ownRows[residency.engine] = residency;
-        d->clusterState.putRow(residency, d->now());
+        d->clusterState.updateResidency(residency, d->now());
     }
     d->tellRows(residencies);
     d->callbacks.onRows();
--- a/main/entry/storereader.cpp
+++ b/main/entry/storereader.cpp
@@ -72,15 +72,15 @@
     void lose(const std::string &reason);
     void succeed();
     void watchAfter(Duration pollDelay);
-    void take(const std::vector<Platform::StoreItem> &read, const std::string &source, BeliefChanges &changes);
-    void knowUntil(Time moment, BeliefChanges &changes);
+    void take(const std::vector<Platform::StoreItem> &read, const std::string &source, ClusterStateChanges &changes);
+    void knowUntil(Time moment, ClusterStateChanges &changes);
     Duration pauseAfterAnswer() const;
 
-    void apply(const Platform::StoreItem &item, const std::string &source, BeliefChanges &changes);
-    void applyConfiguration(const Platform::StoreItem &item, const std::string &source, BeliefChanges &changes);
-    void applyUpstream(const UpstreamId &id, const Platform::StoreItem &item, BeliefChanges &changes);
-    void applyVersion(const Platform::StoreItem &item, BeliefChanges &changes);
-    void publish(const BeliefChanges &changes);
+    void apply(const Platform::StoreItem &item, const std::string &source, ClusterStateChanges &changes);
+    void applyConfiguration(const Platform::StoreItem &item, const std::string &source, ClusterStateChanges &changes);
+    void applyUpstream(const UpstreamId &id, const Platform::StoreItem &item, ClusterStateChanges &changes);
+    void applyVersion(const Platform::StoreItem &item, ClusterStateChanges &changes);
+    void publish(const ClusterStateChanges &changes);
 };
 
 void StoreReader::Private::makeCaller(std::string address)
@@ -156,7 +156,7 @@
     succeed();
     // Pages are no snapshot: changes since the first one are watched for, else those between two pages would be missed.
     watchFrom = watchFrom.value_or(page.value().revision);
-    BeliefChanges changes;
+    ClusterStateChanges changes;
     take(page.value().items, "store", changes);
     for (const Platform::StoreItem &item : page.value().items) {
         listedKeys.push_back(item.key);
@@ -210,7 +210,7 @@
         return page.error();
     }
     succeed();
-    BeliefChanges changes;
+    ClusterStateChanges changes;
     bool isForRequests = false;
     take(page.value().items, "store", changes);
     for (const Platform::StoreItem &item : page.value().items) {
@@ -232,7 +232,7 @@
     return std::max((now < graceOver ? std::min(next, graceOver) : next) - now, Duration(0));
 }
 
-void StoreReader::Private::knowUntil(Time moment, BeliefChanges &changes)
+void StoreReader::Private::knowUntil(Time moment, ClusterStateChanges &changes)
 {
     knownUntil = std::max(knownUntil, moment);
     for (UpstreamChange &change : clusterState.upstreams.endGracePeriods(knownUntil)) {
@@ -240,7 +240,7 @@
     }
 }
 
-void StoreReader::Private::take(const std::vector<Platform::StoreItem> &read, const std::string &source, BeliefChanges &changes)
+void StoreReader::Private::take(const std::vector<Platform::StoreItem> &read, const std::string &source, ClusterStateChanges &changes)
 {
     for (const Platform::StoreItem &item : read) {
         if (copy.put(item, loop.clock().now())) {
@@ -249,7 +249,7 @@
     }
 }
 
-void StoreReader::Private::apply(const Platform::StoreItem &item, const std::string &source, BeliefChanges &changes)
+void StoreReader::Private::apply(const Platform::StoreItem &item, const std::string &source, ClusterStateChanges &changes)
 {
     std::visit(Overloaded {
                    [&](const Platform::ConfigurationKey &) { applyConfiguration(item, source, changes); },
@@ -260,7 +260,7 @@
         Platform::decodeKey(item.key));
 }
 
-void StoreReader::Private::applyConfiguration(const Platform::StoreItem &item, const std::string &source, BeliefChanges &changes)
+void StoreReader::Private::applyConfiguration(const Platform::StoreItem &item, const std::string &source, ClusterStateChanges &changes)
 {
     if (item.isDeleted) {
         return; // The last one stays in force.
@@ -281,7 +281,7 @@
             { "revision", static_cast<std::int64_t>(item.revision) }, { "source", source } });
 }
 
-void StoreReader::Private::applyUpstream(const UpstreamId &id, const Platform::StoreItem &item, BeliefChanges &changes)
+void StoreReader::Private::applyUpstream(const UpstreamId &id, const Platform::StoreItem &item, ClusterStateChanges &changes)
 {
     const Time now = loop.clock().now();
     std::vector<UpstreamChange> found;
@@ -298,7 +298,7 @@
     }
 }
 
-void StoreReader::Private::applyVersion(const Platform::StoreItem &item, BeliefChanges &changes)
+void StoreReader::Private::applyVersion(const Platform::StoreItem &item, ClusterStateChanges &changes)
 {
     if (item.isDeleted) {
         return;
@@ -318,7 +318,7 @@
     log.write(Important, "adapter", "new_version", { { "adapter", adapter.adapter.value() }, { "version", known.version.value() } });
 }
 
-void StoreReader::Private::publish(const BeliefChanges &changes)
+void StoreReader::Private::publish(const ClusterStateChanges &changes)
 {
     if (!changes.isEmpty()) {
         onChanges(changes);
@@ -368,7 +368,7 @@
         d->clusterState.upstreams.onStoreRegained(now - *offered.regainedAgo);
         d->regainedAt = now - *offered.regainedAgo;
     }
-    BeliefChanges changes;
+    ClusterStateChanges changes;
     d->take(page.value().items, "peer " + peer.value(), changes);
     if (d->isFollowing && d->watchFrom) {
         d->watchFrom = std::max(*d->watchFrom, page.value().revision);
--- a/main/entry/storereader.h
+++ b/main/entry/storereader.h
@@ -14,7 +14,7 @@
 {
 
 /** What changed in the beliefs. */
-struct BeliefChanges
+struct ClusterStateChanges
 {
     bool isRoutesChanged = false;
     std::vector<UpstreamChange> upstreams;
@@ -45,7 +45,7 @@
 class StoreReader
 {
 public:
-    using OnChanges = std::function<void(const BeliefChanges &)>;
+    using OnChanges = std::function<void(const ClusterStateChanges &)>;
 
     /** @p changeBound: a change has to be in force within this. */
     StoreReader(
--- a/tests/main/testentrynode.cpp
+++ b/tests/main/testentrynode.cpp
@@ -371,7 +371,7 @@
     EventLog log(clock, "n1");
     ClusterState clusterState;
     IoLoop loop(clock);
-    StoreReader reader(loop, log, clusterState, store.address(), Duration::seconds(2), [](const BeliefChanges &) {});
+    StoreReader reader(loop, log, clusterState, store.address(), Duration::seconds(2), [](const ClusterStateChanges &) {});
     const Platform::StoreItem told { "servers/told", upstreamEntry("10.0.0.2:1"), 40, false };
     loop.after(Duration(SecondPageTime.milliseconds() / 2), [&] {
         cr_assert_not(reader.hasReadAll());
