--- a/main/entry/storereader.cpp
+++ b/main/entry/storereader.cpp
@@ -2,7 +2,7 @@
 
 #include "core/result.h"
 #include "main/entry/storecaller.h"
-#include "main/entry/storecopy.h"
+#include "main/entry/storereplica.h"
 #include "platform/records.h"
 #include "platform/store.h"
 
@@ -37,7 +37,7 @@
     const StoreCallLimits limits;
     std::unique_ptr<StoreCaller> caller;
 
-    StoreCopy copy;
+    StoreReplica replica;
     // While all is read: what the pages have brought so far, and the revision to watch from.
     std::vector<std::string> listedKeys;
     std::optional<Platform::StoreRevision> watchFrom;
@@ -169,8 +169,8 @@
     }
     pageAfter.clear();
     // What a neighbour told of while the pages came stays: the watch brings it again, and it would not be news a second time.
-    for (const Platform::StoreItem &gone : copy.retainOnly(listedKeys, *watchFrom, loop.clock().now())) {
-        apply(gone, "store", changes);
+    for (const Platform::StoreItem &missing : replica.retainOnly(listedKeys, *watchFrom, loop.clock().now())) {
+        apply(missing, "store", changes);
     }
     knowUntil(readBegunAt, changes);
     if (!hasReadAll) {
@@ -243,7 +243,7 @@
 void StoreReader::Private::take(const std::vector<Platform::StoreItem> &read, const std::string &source, ClusterStateChanges &changes)
 {
     for (const Platform::StoreItem &item : read) {
-        if (copy.put(item, loop.clock().now())) {
+        if (replica.put(item, loop.clock().now())) {
             apply(item, source, changes);
         }
     }
@@ -349,10 +349,10 @@
 
 std::optional<std::string> StoreReader::changesSince(Platform::StoreRevision revision) const
 {
-    if (!d->copy.reachesBackTo(revision)) {
+    if (!d->replica.isCompleteSince(revision)) {
         return std::nullopt;
     }
-    return Platform::encodeWatch(d->copy.since(revision), this->revision());
+    return Platform::encodeWatch(d->replica.since(revision), this->revision());
 }
 
 bool StoreReader::takeFromPeer(const NodeId &peer, const PeerChanges &offered)
--- a/main/entry/storecopy.h
+++ b/main/entry/storereplica.h
@@ -16,7 +16,7 @@
  * Facts come from the store and from other nodes in any order. One of an earlier revision never replaces a later one: an upstream that has
  * left would come back, a dropped route would be served again.
  */
-class StoreCopy
+class StoreReplica
 {
 public:
     /** Whether @p item was news; then it is kept. */
@@ -25,23 +25,23 @@
     std::vector<Platform::StoreItem> retainOnly(const std::vector<std::string> &keys, Platform::StoreRevision revision, Time now);
 
     /** Whether since() of this revision is complete: no deletion after it has been forgotten. */
-    bool reachesBackTo(Platform::StoreRevision revision) const;
+    bool isCompleteSince(Platform::StoreRevision revision) const;
     /** All that changed after @p revision, deletions included, in the order of revisions. */
     std::vector<Platform::StoreItem> since(Platform::StoreRevision revision) const;
 
 private:
-    struct Deletion
+    struct Tombstone
     {
         Platform::StoreRevision revision = 0;
         Time at;
     };
 
-    void forgetOldDeletions(Time now);
+    void removeExpiredTombstones(Time now);
 
     std::map<std::string, Platform::StoreItem> m_items;
-    std::map<std::string, Deletion> m_deletions;
+    std::map<std::string, Tombstone> m_tombstones;
     /** The latest deletion that was forgotten. */
-    Platform::StoreRevision m_forgotten = 0;
+    Platform::StoreRevision m_lastExpiredRevision = 0;
 };
 
 } // namespace ApricotStep
--- /dev/null
+++ b/tests/main/teststorereplica.cpp
@@ -0,0 +1,76 @@
+#include "main/entry/storereplica.h"
+
+#include <criterion/criterion.h>
+
+using namespace ApricotStep;
+using Platform::StoreItem;
+
+namespace
+{
+
+constexpr Time Start { 10'000 };
+
+StoreItem item(const std::string &key, Platform::StoreRevision revision)
+{
+    return StoreItem { key, "v" + std::to_string(revision), revision, false };
+}
+
+StoreItem deletion(const std::string &key, Platform::StoreRevision revision)
+{
+    return StoreItem { key, "", revision, true };
+}
+
+} // namespace
+
+// A node gets the same facts from the store and from its neighbours, crossed on the way. An upstream that has left would come back by an
+// older account of it, and get requests that nobody answers.
+Test(storereplica, anOlderFactNeverReplacesALaterOne)
+{
+    StoreReplica replica;
+    cr_assert(replica.put(item("servers/a", 5), Start));
+    cr_assert_not(replica.put(item("servers/a", 4), Start));
+    cr_assert(replica.put(deletion("servers/a", 7), Start));
+    cr_assert_not(replica.put(item("servers/a", 6), Start));
+    cr_assert_not(replica.put(deletion("servers/a", 7), Start));
+    cr_assert(replica.put(item("servers/a", 8), Start));
+}
+
+// A node that follows another must hear of deletions as well, or it sends to upstreams that are gone.
+Test(storereplica, aFollowerHearsOfWritesAndDeletions)
+{
+    StoreReplica replica;
+    replica.put(item("servers/a", 2), Start);
+    replica.put(item("servers/b", 3), Start);
+    replica.put(deletion("servers/a", 9), Start);
+    const auto changes = replica.since(2);
+    cr_assert_eq(changes.size(), 2);
+    cr_assert(changes[0].key == "servers/b" && !changes[0].isDeleted);
+    cr_assert(changes[1].key == "servers/a" && changes[1].isDeleted);
+    cr_assert(replica.since(9).empty());
+}
+
+// The store forgot its history, so this node read it whole: what vanished in between was never told as a deletion. Followers that are told
+// only of what is there would keep it for good.
+Test(storereplica, whatAWholeReadingLacksCountsAsDeleted)
+{
+    StoreReplica replica;
+    replica.put(item("servers/a", 2), Start);
+    replica.put(item("servers/b", 3), Start);
+    replica.put(item("servers/new", 40), Start);
+    cr_assert_eq(replica.retainOnly({ "servers/b" }, 30, Start).size(), 1);
+    const auto changes = replica.since(3);
+    cr_assert_eq(changes.size(), 2);
+    cr_assert(changes[0].key == "servers/a" && changes[0].isDeleted && changes[1].key == "servers/new");
+}
+
+// A follower was cut off for minutes, and deletions of that time have been forgotten here. Told only the rest, it would keep what is gone;
+// it must be told to read the store itself.
+Test(storereplica, forgottenDeletionsAreAdmitted)
+{
+    StoreReplica replica;
+    replica.put(deletion("servers/a", 4), Start);
+    cr_assert(replica.isCompleteSince(3));
+    replica.put(deletion("servers/b", 8), Start + Duration::seconds(61));
+    cr_assert_not(replica.isCompleteSince(3));
+    cr_assert(replica.isCompleteSince(4));
+}
