--- a/main/entry/storecaller.h
+++ b/main/entry/storepoller.h
@@ -13,12 +13,12 @@
 {
 
 /** What is asked of the store. */
-struct StoreQuestion
+struct StoreQuery
 {
     /** Path and query of a call that begins now. */
     std::function<std::string()> target;
     /** How long the store may hold a call. */
-    Duration held;
+    Duration holdTime;
     /** For one call. */
     Duration timeout;
     /** Takes an answer by its status and body; an error where it is none to use, and the store is asked again. */
@@ -26,7 +26,7 @@
 };
 
 /** Puts one question at a time to the platform's store, in as many calls as StoreCallScheduler decides, and takes the first answer. */
-class StoreCaller
+class StorePoller
 {
 public:
     struct Callbacks
@@ -37,11 +37,11 @@
         std::function<void()> onOverdue;
     };
 
-    StoreCaller(IoLoop &loop, std::string address, StoreCallLimits limits, Callbacks callbacks);
-    ~StoreCaller();
+    StorePoller(IoLoop &loop, std::string address, StoreCallLimits limits, Callbacks callbacks);
+    ~StorePoller();
 
     /** Asks at once. Calls of an earlier question end. */
-    void ask(StoreQuestion question);
+    void ask(StoreQuery query);
 
 private:
     struct Private;
--- a/main/entry/storereader.cpp
+++ b/main/entry/storereader.cpp
@@ -1,7 +1,7 @@
 #include "main/entry/storereader.h"
 
 #include "core/result.h"
-#include "main/entry/storecaller.h"
+#include "main/entry/storepoller.h"
 #include "main/entry/storereplica.h"
 #include "platform/records.h"
 #include "platform/store.h"
@@ -35,7 +35,7 @@
     ClusterState &clusterState;
     OnChanges onChanges;
     const StoreCallLimits limits;
-    std::unique_ptr<StoreCaller> caller;
+    std::unique_ptr<StorePoller> poller;
 
     StoreReplica replica;
     // While all is read: what the pages have brought so far, and the revision to watch from.
@@ -64,7 +64,7 @@
     {
     }
 
-    void makeCaller(std::string address);
+    void makePoller(std::string address);
     void readPage();
     std::optional<Error> onPage(int status, const std::string &body);
     void watch();
@@ -83,15 +83,15 @@
     void publish(const ClusterStateChanges &changes);
 };
 
-void StoreReader::Private::makeCaller(std::string address)
+void StoreReader::Private::makePoller(std::string address)
 {
-    StoreCaller::Callbacks callbacks;
+    StorePoller::Callbacks callbacks;
     callbacks.onFailed = [this](const std::string &reason, Duration waited) {
         log.write(Important, "store", "no_answer", { { "reason", reason }, { "waitedMs", waited.milliseconds() } });
         lose(reason);
     };
     callbacks.onOverdue = [this] { lose("no answer in time"); };
-    caller = std::make_unique<StoreCaller>(loop, std::move(address), limits, std::move(callbacks));
+    poller = std::make_unique<StorePoller>(loop, std::move(address), limits, std::move(callbacks));
 }
 
 void StoreReader::Private::watchAfter(Duration pollDelay)
@@ -139,11 +139,11 @@
         watchFrom.reset();
         readBegunAt = loop.clock().now();
     }
-    StoreQuestion question;
-    question.target = [this] { return Platform::rangeTarget("", pageAfter); };
-    question.timeout = ReadTimeout;
-    question.onAnswer = [this](int status, const std::string &body) { return onPage(status, body); };
-    caller->ask(std::move(question));
+    StoreQuery query;
+    query.target = [this] { return Platform::rangeTarget("", pageAfter); };
+    query.timeout = ReadTimeout;
+    query.onAnswer = [this](int status, const std::string &body) { return onPage(status, body); };
+    poller->ask(std::move(query));
 }
 
 std::optional<Error> StoreReader::Private::onPage(int status, const std::string &body)
@@ -187,12 +187,12 @@
 void StoreReader::Private::watch()
 {
     askedAt = loop.clock().now();
-    StoreQuestion question;
-    question.target = [this] { return Platform::watchTarget("", *watchFrom, limits.longPollTimeout); };
-    question.held = limits.longPollTimeout;
-    question.timeout = limits.longPollTimeout + WatchSlack;
-    question.onAnswer = [this](int status, const std::string &body) { return onWatch(status, body); };
-    caller->ask(std::move(question));
+    StoreQuery query;
+    query.target = [this] { return Platform::watchTarget("", *watchFrom, limits.longPollTimeout); };
+    query.holdTime = limits.longPollTimeout;
+    query.timeout = limits.longPollTimeout + WatchSlack;
+    query.onAnswer = [this](int status, const std::string &body) { return onWatch(status, body); };
+    poller->ask(std::move(query));
 }
 
 std::optional<Error> StoreReader::Private::onWatch(int status, const std::string &body)
@@ -329,7 +329,7 @@
     IoLoop &loop, EventLog &log, ClusterState &clusterState, std::string storeAddress, Duration changeBound, OnChanges onChanges)
     : d(std::make_shared<Private>(loop, log, clusterState, changeBound, std::move(onChanges)))
 {
-    d->makeCaller(std::move(storeAddress));
+    d->makePoller(std::move(storeAddress));
 }
 
 StoreReader::~StoreReader() = default;
