--- a/main/entry/entrynode.cpp
+++ b/main/entry/entrynode.cpp
@@ -276,7 +276,7 @@
     }
     EntryGauges gauges;
     gauges.configVersion = clusterState.routes != nullptr ? clusterState.routes->version().value() : 0;
-    gauges.timeSinceStoreResponse = store->silence();
+    gauges.timeSinceStoreResponse = store->timeSinceLastAnswer();
     gauges.peersAlive = static_cast<int>(fleet->alive().size());
     gauges.upstreams = static_cast<int>(clusterState.upstreams.size());
     gauges.requestsInProgress = forwarder->activeCount();
@@ -293,7 +293,7 @@
     for (const Peer *peer : near) {
         neighbours.push_back(StorePeer { peer->id, peer->capacity, peer->isLeaving, peer->isReadingStore, peer->readRevision });
     }
-    const bool isCurrent = store->hasReadAll() && store->silence() == Duration(0);
+    const bool isCurrent = store->hasReadAll() && store->timeSinceLastAnswer() == Duration(0);
     const StoreReaderDecision turn = storeReaderElection.decide(fleet->isDivided(), isCurrent, store->revision(), neighbours, clock.now());
     if (std::exchange(readsStore, turn.readsItself) != turn.readsItself) {
         log.write(EventLog::Severity::Important, "store", "turn",
--- a/main/entry/peerservice.cpp
+++ b/main/entry/peerservice.cpp
@@ -64,8 +64,8 @@
     call.acknowledgeTimeout = ConnectTimeout;
     auto changes = std::make_shared<PeerChanges>();
     call.onHead = [changes](int, const HttpHeaders &headers) {
-        changes->regainedAgo = millisecondsOf(headers, RegainedHeader);
-        changes->knownAgo = millisecondsOf(headers, KnownHeader);
+        changes->timeSinceRecovery = millisecondsOf(headers, RegainedHeader);
+        changes->snapshotAge = millisecondsOf(headers, KnownHeader);
     };
     call.onData = [changes](std::string_view data) {
         changes->body.append(data);
@@ -77,7 +77,7 @@
             return;
         }
         self->isFetching = false;
-        const bool hasCome = result.state == AttemptState::Answered && result.status == OkStatus && self->store.takeFromPeer(id, *changes);
+        const bool hasCome = result.state == AttemptState::Answered && result.status == OkStatus && self->store.mergeFromPeer(id, *changes);
         if (!hasCome) {
             self->log.write(EventLog::Severity::Important, "peers", "no_copy",
                 { { "peer", id.value() }, { "status", std::int64_t(result.status) }, { "reason", result.detail } });
@@ -111,11 +111,11 @@
         return;
     }
     HttpHeaders headers { { "Content-Type", "application/json" } };
-    if (const auto ago = d->store.regainedAgo()) {
-        headers.push_back({ RegainedHeader, std::to_string(ago->milliseconds()) });
+    if (const auto age = d->store.timeSinceRecovery()) {
+        headers.push_back({ RegainedHeader, std::to_string(age->milliseconds()) });
     }
-    if (const auto ago = d->store.knownAgo()) {
-        headers.push_back({ KnownHeader, std::to_string(ago->milliseconds()) });
+    if (const auto age = d->store.snapshotAge()) {
+        headers.push_back({ KnownHeader, std::to_string(age->milliseconds()) });
     }
     exchange.respond(OkStatus, headers, std::move(*changes));
 }
@@ -126,7 +126,7 @@
         return;
     }
     d->isFetching = true;
-    const Duration patience = d->store.hasReadAll() && d->store.silence() == Duration(0) ? PatienceWithStore : Duration(0);
+    const Duration patience = d->store.hasReadAll() && d->store.timeSinceLastAnswer() == Duration(0) ? PatienceWithStore : Duration(0);
     d->loop.after(patience, [weak = std::weak_ptr(d), peer] {
         if (const auto self = weak.lock()) {
             self->fetch(peer, [](bool) {});
--- a/main/entry/storereader.cpp
+++ b/main/entry/storereader.cpp
@@ -21,7 +21,7 @@
 // Neighbours reckon the end of a grace some milliseconds apart; what is asked after this counts for all of them.
 constexpr Duration GraceMargin { 100 };
 // Shorter interruptions end no leases at the store.
-constexpr Duration OutageThatLosesEntries { 700 };
+constexpr Duration MinOutageToLoseEntries { 700 };
 
 constexpr int OkStatus = 200;
 constexpr EventLog::Severity Important = EventLog::Severity::Important;
@@ -42,17 +42,17 @@
     std::vector<std::string> listedKeys;
     std::optional<Platform::StoreRevision> watchFrom;
     std::string pageAfter;
-    Time readBegunAt;
+    Time readStartedAt;
     bool hasReadAll = false;
-    Time lastAnswer;
-    Time askedAt;
+    Time lastAnswerAt;
+    Time watchStartedAt;
     /** All that the store held then is known here. */
-    Time knownUntil;
+    Time snapshotTime;
     bool isLost = false;
     bool isFollowing = false;
     /** Following, with no call to the store on its way. */
     bool isPaused = false;
-    Time regainedAt = Time::never();
+    Time recoveredAt = Time::never();
 
     Private(IoLoop &loop, EventLog &log, ClusterState &clusterState, Duration bound, OnChanges onChanges)
         : loop(loop)
@@ -60,7 +60,7 @@
         , clusterState(clusterState)
         , onChanges(std::move(onChanges))
         , limits(StoreCallLimits::within(bound))
-        , lastAnswer(loop.clock().now())
+        , lastAnswerAt(loop.clock().now())
     {
     }
 
@@ -69,12 +69,12 @@
     std::optional<Error> onPage(int status, const std::string &body);
     void watch();
     std::optional<Error> onWatch(int status, const std::string &body);
-    void lose(const std::string &reason);
-    void succeed();
-    void watchAfter(Duration pollDelay);
-    void take(const std::vector<Platform::StoreItem> &read, const std::string &source, ClusterStateChanges &changes);
-    void knowUntil(Time moment, ClusterStateChanges &changes);
-    Duration pauseAfterAnswer() const;
+    void markLost(const std::string &reason);
+    void markAnswered();
+    void watchAfter(Duration delay);
+    void merge(const std::vector<Platform::StoreItem> &read, const std::string &source, ClusterStateChanges &changes);
+    void advanceSnapshotTime(Time time, ClusterStateChanges &changes);
+    Duration delayAfterAnswer() const;
 
     void apply(const Platform::StoreItem &item, const std::string &source, ClusterStateChanges &changes);
     void applyConfiguration(const Platform::StoreItem &item, const std::string &source, ClusterStateChanges &changes);
@@ -88,15 +88,15 @@
     StorePoller::Callbacks callbacks;
     callbacks.onFailed = [this](const std::string &reason, Duration waited) {
         log.write(Important, "store", "no_answer", { { "reason", reason }, { "waitedMs", waited.milliseconds() } });
-        lose(reason);
+        markLost(reason);
     };
-    callbacks.onOverdue = [this] { lose("no answer in time"); };
+    callbacks.onOverdue = [this] { markLost("no answer in time"); };
     poller = std::make_unique<StorePoller>(loop, std::move(address), limits, std::move(callbacks));
 }
 
-void StoreReader::Private::watchAfter(Duration pollDelay)
+void StoreReader::Private::watchAfter(Duration delay)
 {
-    loop.after(pollDelay, [weak = weak_from_this()] {
+    loop.after(delay, [weak = weak_from_this()] {
         const auto self = weak.lock();
         if (self == nullptr) {
             return;
@@ -109,7 +109,7 @@
     });
 }
 
-void StoreReader::Private::lose(const std::string &reason)
+void StoreReader::Private::markLost(const std::string &reason)
 {
     if (!isLost) {
         isLost = true;
@@ -117,18 +117,18 @@
     }
 }
 
-void StoreReader::Private::succeed()
+void StoreReader::Private::markAnswered()
 {
     const Time now = loop.clock().now();
-    const Duration silence = now - lastAnswer;
-    lastAnswer = now;
+    const Duration timeSinceLastAnswer = now - lastAnswerAt;
+    lastAnswerAt = now;
     if (isLost) {
         isLost = false;
-        if (hasReadAll && silence >= OutageThatLosesEntries) {
+        if (hasReadAll && timeSinceLastAnswer >= MinOutageToLoseEntries) {
             clusterState.upstreams.onStoreRegained(now);
-            regainedAt = now;
+            recoveredAt = now;
         }
-        log.write(Important, "store", "regained", { { "silenceMs", silence.milliseconds() } });
+        log.write(Important, "store", "regained", { { "silenceMs", timeSinceLastAnswer.milliseconds() } });
     }
 }
 
@@ -137,7 +137,7 @@
     if (pageAfter.empty()) {
         listedKeys.clear();
         watchFrom.reset();
-        readBegunAt = loop.clock().now();
+        readStartedAt = loop.clock().now();
     }
     StoreQuery query;
     query.target = [this] { return Platform::rangeTarget("", pageAfter); };
@@ -153,11 +153,11 @@
     if (!page.isOk()) {
         return page.error();
     }
-    succeed();
+    markAnswered();
     // Pages are no snapshot: changes since the first one are watched for, else those between two pages would be missed.
     watchFrom = watchFrom.value_or(page.value().revision);
     ClusterStateChanges changes;
-    take(page.value().items, "store", changes);
+    merge(page.value().items, "store", changes);
     for (const Platform::StoreItem &item : page.value().items) {
         listedKeys.push_back(item.key);
     }
@@ -172,7 +172,7 @@
     for (const Platform::StoreItem &missing : replica.retainOnly(listedKeys, *watchFrom, loop.clock().now())) {
         apply(missing, "store", changes);
     }
-    knowUntil(readBegunAt, changes);
+    advanceSnapshotTime(readStartedAt, changes);
     if (!hasReadAll) {
         hasReadAll = true;
         log.write(Important, "store", "read",
@@ -186,7 +186,7 @@
 
 void StoreReader::Private::watch()
 {
-    askedAt = loop.clock().now();
+    watchStartedAt = loop.clock().now();
     StoreQuery query;
     query.target = [this] { return Platform::watchTarget("", *watchFrom, limits.longPollTimeout); };
     query.holdTime = limits.longPollTimeout;
@@ -199,7 +199,7 @@
 {
     if (status == Platform::HistoryGoneStatus) {
         log.write(Important, "store", "history_gone", { { "revision", static_cast<std::int64_t>(*watchFrom) } });
-        succeed();
+        markAnswered();
         hasReadAll = false;
         readPage();
         return std::nullopt;
@@ -209,38 +209,38 @@
     if (!page.isOk()) {
         return page.error();
     }
-    succeed();
+    markAnswered();
     ClusterStateChanges changes;
-    bool isForRequests = false;
-    take(page.value().items, "store", changes);
+    bool hasUrgentChange = false;
+    merge(page.value().items, "store", changes);
     for (const Platform::StoreItem &item : page.value().items) {
-        isForRequests = isForRequests || !std::holds_alternative<Platform::UpstreamKey>(Platform::decodeKey(item.key));
+        hasUrgentChange = hasUrgentChange || !std::holds_alternative<Platform::UpstreamKey>(Platform::decodeKey(item.key));
     }
     watchFrom = std::max(*watchFrom, page.value().revision);
-    knowUntil(askedAt, changes);
+    advanceSnapshotTime(watchStartedAt, changes);
     publish(changes);
-    watchAfter(isForRequests ? Duration(0) : pauseAfterAnswer());
+    watchAfter(hasUrgentChange ? Duration(0) : delayAfterAnswer());
     return std::nullopt;
 }
 
 // Whether an upstream is gone shows in what is asked after its grace, so a pause does not outlast that.
-Duration StoreReader::Private::pauseAfterAnswer() const
+Duration StoreReader::Private::delayAfterAnswer() const
 {
     const Time now = loop.clock().now();
-    const Time graceOver = clusterState.upstreams.gracePeriodEnd() + GraceMargin;
-    const Time next = askedAt + limits.pollDelay;
-    return std::max((now < graceOver ? std::min(next, graceOver) : next) - now, Duration(0));
+    const Time graceEnd = clusterState.upstreams.gracePeriodEnd() + GraceMargin;
+    const Time next = watchStartedAt + limits.pollDelay;
+    return std::max((now < graceEnd ? std::min(next, graceEnd) : next) - now, Duration(0));
 }
 
-void StoreReader::Private::knowUntil(Time moment, ClusterStateChanges &changes)
+void StoreReader::Private::advanceSnapshotTime(Time time, ClusterStateChanges &changes)
 {
-    knownUntil = std::max(knownUntil, moment);
-    for (UpstreamChange &change : clusterState.upstreams.endGracePeriods(knownUntil)) {
+    snapshotTime = std::max(snapshotTime, time);
+    for (UpstreamChange &change : clusterState.upstreams.endGracePeriods(snapshotTime)) {
         changes.upstreams.push_back(std::move(change));
     }
 }
 
-void StoreReader::Private::take(const std::vector<Platform::StoreItem> &read, const std::string &source, ClusterStateChanges &changes)
+void StoreReader::Private::merge(const std::vector<Platform::StoreItem> &read, const std::string &source, ClusterStateChanges &changes)
 {
     for (const Platform::StoreItem &item : read) {
         if (replica.put(item, loop.clock().now())) {
@@ -355,7 +355,7 @@
     return Platform::encodeWatch(d->replica.since(revision), this->revision());
 }
 
-bool StoreReader::takeFromPeer(const NodeId &peer, const PeerChanges &offered)
+bool StoreReader::mergeFromPeer(const NodeId &peer, const PeerChanges &offered)
 {
     const auto page = Platform::decodeWatch(offered.body);
     if (!page.isOk()) {
@@ -363,19 +363,19 @@
         return false;
     }
     const Time now = d->loop.clock().now();
-    if (offered.regainedAgo) {
+    if (offered.timeSinceRecovery) {
         // The peer saw the store away; what it then lists no longer may come back as if this node had seen it itself.
-        d->clusterState.upstreams.onStoreRegained(now - *offered.regainedAgo);
-        d->regainedAt = now - *offered.regainedAgo;
+        d->clusterState.upstreams.onStoreRegained(now - *offered.timeSinceRecovery);
+        d->recoveredAt = now - *offered.timeSinceRecovery;
     }
     ClusterStateChanges changes;
-    d->take(page.value().items, "peer " + peer.value(), changes);
+    d->merge(page.value().items, "peer " + peer.value(), changes);
     if (d->isFollowing && d->watchFrom) {
         d->watchFrom = std::max(*d->watchFrom, page.value().revision);
-        d->lastAnswer = now;
+        d->lastAnswerAt = now;
     }
-    if (offered.knownAgo) {
-        d->knowUntil(now - *offered.knownAgo, changes);
+    if (offered.snapshotAge) {
+        d->advanceSnapshotTime(now - *offered.snapshotAge, changes);
     }
     d->publish(changes);
     return true;
@@ -396,23 +396,23 @@
     return d->hasReadAll && !d->isLost && !d->isPaused;
 }
 
-std::optional<Duration> StoreReader::regainedAgo() const
+std::optional<Duration> StoreReader::timeSinceRecovery() const
 {
-    if (d->regainedAt == Time::never()) {
+    if (d->recoveredAt == Time::never()) {
         return std::nullopt;
     }
-    const Duration ago = d->loop.clock().now() - d->regainedAt;
-    return ago < UpstreamDirectoryLimits {}.graceAfterOutage ? std::optional(ago) : std::nullopt;
+    const Duration age = d->loop.clock().now() - d->recoveredAt;
+    return age < UpstreamDirectoryLimits {}.graceAfterOutage ? std::optional(age) : std::nullopt;
 }
 
-std::optional<Duration> StoreReader::knownAgo() const
+std::optional<Duration> StoreReader::snapshotAge() const
 {
-    return d->hasReadAll ? std::optional(d->loop.clock().now() - d->knownUntil) : std::nullopt;
+    return d->hasReadAll ? std::optional(d->loop.clock().now() - d->snapshotTime) : std::nullopt;
 }
 
-Duration StoreReader::silence() const
+Duration StoreReader::timeSinceLastAnswer() const
 {
-    return d->isLost ? d->loop.clock().now() - d->lastAnswer : Duration(0);
+    return d->isLost ? d->loop.clock().now() - d->lastAnswerAt : Duration(0);
 }
 
 } // namespace ApricotStep
--- a/main/entry/storereader.h
+++ b/main/entry/storereader.h
@@ -31,10 +31,10 @@
 {
     /** As StoreReader::changesSince() gives it. */
     std::string body;
-    /** Its regainedAgo(). */
-    std::optional<Duration> regainedAgo;
-    /** Its knownAgo(); unset where it did not say. */
-    std::optional<Duration> knownAgo;
+    /** Its timeSinceRecovery(). */
+    std::optional<Duration> timeSinceRecovery;
+    /** Its snapshotAge(); unset where it did not say. */
+    std::optional<Duration> snapshotAge;
 };
 
 /**
@@ -53,12 +53,12 @@
     ~StoreReader();
 
     void start();
-    /** While following, the store is not asked for changes; takeFromPeer() brings them. */
+    /** While following, the store is not asked for changes; mergeFromPeer() brings them. */
     void setFollowing(bool isFollowing);
     /** What changed after @p revision, for other nodes; empty when deletions since then have been forgotten. */
     std::optional<std::string> changesSince(Platform::StoreRevision revision) const;
     /** Takes in what another node has read; only what is news. Whether it could be read. */
-    bool takeFromPeer(const NodeId &peer, const PeerChanges &changes);
+    bool mergeFromPeer(const NodeId &peer, const PeerChanges &changes);
     /** Whether all of the store has been read once. */
     bool hasReadAll() const;
     /** Up to which revision this node knows all changes; 0 before all has been read once. */
@@ -66,11 +66,11 @@
     /** Whether this node asks the store itself, and it answers. */
     bool isReading() const;
     /** How long ago the store answered again after it was away; unset where that is over for all entries. */
-    std::optional<Duration> regainedAgo() const;
+    std::optional<Duration> timeSinceRecovery() const;
     /** How long ago the store held what this node knows of it; unset before all has been read once. */
-    std::optional<Duration> knownAgo() const;
+    std::optional<Duration> snapshotAge() const;
     /** How long the store has not answered; zero when it does. */
-    Duration silence() const;
+    Duration timeSinceLastAnswer() const;
 
 private:
     struct Private;
--- a/tests/main/testentrynode.cpp
+++ b/tests/main/testentrynode.cpp
@@ -375,7 +375,7 @@
     const Platform::StoreItem told { "servers/told", upstreamEntry("10.0.0.2:1"), 40, false };
     loop.after(Duration(SecondPageTime.milliseconds() / 2), [&] {
         cr_assert_not(reader.hasReadAll());
-        cr_assert(reader.takeFromPeer(NodeId("n2"), PeerChanges { Platform::encodeWatch({ told }, 40), {}, {} }));
+        cr_assert(reader.mergeFromPeer(NodeId("n2"), PeerChanges { Platform::encodeWatch({ told }, 40), {}, {} }));
     });
     loop.after(SecondPageTime + Duration(500), [&] { loop.stop(); });
     reader.start();
