--- a/main/entry/entrynode.cpp
+++ b/main/entry/entrynode.cpp
@@ -108,17 +108,17 @@
     peers = std::make_unique<PeerService>(loop, log, *store);
 
     FleetLink::Callbacks fleetCallbacks;
-    fleetCallbacks.account = [this] { return OwnAccount { clusterState.loadTracker.own(), forwarder->uses() }; };
+    fleetCallbacks.loadReport = [this] { return NodeLoadReport { clusterState.loadTracker.own(), forwarder->uses() }; };
     fleetCallbacks.pendingAdapters = [this] { return forwarder->pendingAdapters(); };
     fleetCallbacks.onPendingAdapters = [this](const NodeId &node, const std::vector<AdapterUse> &pendingAdapters) {
         orders->onPendingAdapters(node, pendingAdapters);
     };
     fleetCallbacks.isReady = [this] { return isReady(); };
     fleetCallbacks.onUses = [this](const NodeId &node, const std::vector<AdapterUse> &uses) { orders->onUses(node, uses); };
-    fleetCallbacks.storeSight = [this] { return StoreSight { store->revision(), store->isReading() }; };
-    fleetCallbacks.onStoreNews = [this] { followStore(); };
-    fleetCallbacks.onRows = [this] { forwarder->onClusterStateChanged(); };
-    fleetCallbacks.onLaterConfiguration = [this](const Peer &peer) { peers->fetchFrom(peer); };
+    fleetCallbacks.storeReadState = [this] { return StoreReadState { store->revision(), store->isReading() }; };
+    fleetCallbacks.onPeerReadFurther = [this] { followStore(); };
+    fleetCallbacks.onResidencyChanged = [this] { forwarder->onClusterStateChanged(); };
+    fleetCallbacks.onNewerConfiguration = [this](const Peer &peer) { peers->fetchFrom(peer); };
     OrderLeaseLimits limits;
     limits.handoverDelay = settings.orderHandoverDelay;
     const auto started = static_cast<std::uint64_t>(clock.wallTime().milliseconds());
@@ -136,7 +136,7 @@
     forwarding.adapterVersionBound = settings.adapterVersionBound;
     ForwarderCallbacks callbacks;
     callbacks.onPendingAdapters = [this] {
-        fleet->tellWants();
+        fleet->sendPendingAdapters();
         orders->decideSoon();
     };
     callbacks.nodeCount = [this] { return fleet->lease(EngineShard(0)).voterCount(clock.now()); };
--- a/main/entry/fleetlink.cpp
+++ b/main/entry/fleetlink.cpp
@@ -15,22 +15,22 @@
 {
 
 // All rows are told again this often, for nodes that started or lost a datagram.
-constexpr Duration RowsInterval { 2000 };
+constexpr Duration ResidencyInterval { 2000 };
 // Contacts in one message: with five messages a second, all nodes of a small fleet are named to a new one within a second; later a few
 // keep the picture whole, and save a fifth of the bytes.
 constexpr std::size_t ContactsAtStart = 6;
 constexpr std::size_t ContactsLater = 1;
 // Addresses of some 20 bytes: a greeting stays below the size that no link cuts.
-constexpr std::size_t ContactsInGreeting = 24;
-constexpr Duration StartTime = Duration::seconds(5);
+constexpr std::size_t ContactsForNewPeer = 24;
+constexpr Duration StartupTime = Duration::seconds(5);
 // A node that starts shows itself to all within this. Were it heard of only now and then, its voice would be missing.
-constexpr Duration FarIntervalAtStart { 600 };
+constexpr Duration OutOfScopeIntervalAtStart { 600 };
 // Wants of requests that arrive together go out together.
-constexpr Duration WantsDelay { 3 };
+constexpr Duration PendingAdaptersDelay { 3 };
 // A peer silent for so long is forgotten.
 constexpr Duration PeerTimeout = Duration::seconds(60);
 // Rows in one datagram, by their copies of about a dozen bytes each: they stay below the size that no link cuts.
-constexpr std::size_t CopiesInDatagram = 60;
+constexpr std::size_t MaxCopiesInDatagram = 60;
 constexpr EventLog::Severity Important = EventLog::Severity::Important;
 
 } // namespace
@@ -52,16 +52,16 @@
     std::map<std::string, Time> contacts;
     std::mt19937_64 random { std::random_device {}() };
     /** The rows that this node announced, for repeating. */
-    std::map<UpstreamId, EngineResidency> ownRows;
+    std::map<UpstreamId, EngineResidency> ownResidencies;
     const Time startedAt;
-    Time moment;
-    Time rowsToldAt;
+    Time lastClockReading;
+    Time residenciesSentAt;
     bool isLeaving = false;
-    bool areWantsDue = false;
-    std::vector<EngineShard> released;
+    bool isPendingSendScheduled = false;
+    std::vector<EngineShard> releasedShards;
     std::vector<NodeId> lastHolders;
     /** When the nodes that share no engines with this one were told last. */
-    Time farToldAt;
+    Time outOfScopeSentAt;
 
     Private(IoLoop &loop, EventLog &log, ClusterState &clusterState, FleetIdentity identity, OrderLeaseLimits limits, Callbacks callbacks)
         : loop(loop)
@@ -82,19 +82,19 @@
     }
     bool isAlive(const Peer &peer) const
     {
-        return now() - peer.heardAt <= peer.heartbeatTimeout;
+        return now() - peer.lastReceivedAt <= peer.heartbeatTimeout;
     }
     /** Shards of the engines that this node uses. */
     bool isInScope(EngineShard shard) const
     {
         return shards.zoneOf(shard).isEmpty() || scope.covers(shards.zoneOf(shard));
     }
-    bool holdsAfter(std::size_t shard) const
+    bool holdsLaterShard(std::size_t shard) const
     {
         return std::any_of(leases.begin() + static_cast<std::ptrdiff_t>(shard) + 1, leases.end(),
             [this](const OrderLease &lease) { return lease.isHolder(now()); });
     }
-    bool isAnyHolder() const
+    bool holdsAnyShard() const
     {
         return std::any_of(leases.begin(), leases.end(), [this](const OrderLease &lease) { return lease.isHolder(now()); });
     }
@@ -102,36 +102,36 @@
     /** As of the message or the timer at hand. */
     Time now() const
     {
-        return std::max(moment, loop.now());
+        return std::max(lastClockReading, loop.now());
     }
     // A promise that was dated before a sleep would end sooner than its holder believes, so each datagram and timer reads the clock.
     void readClock()
     {
-        moment = loop.clock().now();
+        lastClockReading = loop.clock().now();
     }
-    FleetMessage base() const;
-    FleetMessage withLoad() const;
+    FleetMessage baseMessage() const;
+    FleetMessage loadMessage() const;
     std::set<NodeId> holders() const;
-    void tellWants();
-    std::set<std::string> unheardAddresses() const;
+    void sendPendingAdapters();
+    std::set<std::string> unconfirmedAddresses() const;
     void sendToAll(const FleetMessage &message);
     void sendLoad(const FleetMessage &message);
-    bool isNews(const FleetMessage &message) const;
+    bool isUrgent(const FleetMessage &message) const;
     bool usesEnginesOf(const Peer &peer, const ZoneId &zone) const;
     void updateScope();
     void heartbeat();
-    void tellRows(const std::vector<EngineResidency> &residencies);
+    void sendResidencies(const std::vector<EngineResidency> &residencies);
     void onDatagram(std::string_view bytes);
     void onMessage(const FleetMessage &message);
-    void notePeer(const FleetMessage &message);
-    void noteContacts(const FleetMessage &message);
-    std::vector<std::string> someContacts(std::size_t count);
-    void greet(const FleetMessage &from);
-    void noteHolder();
+    void updatePeer(const FleetMessage &message);
+    void addContacts(const FleetMessage &message);
+    std::vector<std::string> randomContacts(std::size_t count);
+    void sendContacts(const FleetMessage &from);
+    void logHolderChanges();
     void tick();
 };
 
-FleetMessage FleetLink::Private::base() const
+FleetMessage FleetLink::Private::baseMessage() const
 {
     FleetMessage message;
     message.sender = identity.id;
@@ -143,12 +143,12 @@
     message.interval = scope.zone().isEmpty() ? scopeLimits.inScopeInterval : scopeLimits.outOfScopeInterval;
     message.callerAddress = identity.callerAddress;
     message.peerAddress = identity.peerAddress;
-    const StoreSight sight = callbacks.storeSight();
-    message.readRevision = sight.revision;
-    message.isReadingStore = sight.isReading;
+    const StoreReadState readState = callbacks.storeReadState();
+    message.readRevision = readState.revision;
+    message.isReadingStore = readState.isReading;
     message.isReady = callbacks.isReady() && !isLeaving;
     message.isLeaving = isLeaving;
-    message.releases = released;
+    message.releases = releasedShards;
     message.uptime = now() - startedAt;
     message.rememberedNodes = static_cast<std::uint32_t>(leases.front().voterCount(now()));
     for (const OrderLease &lease : leases) {
@@ -160,18 +160,18 @@
     return message;
 }
 
-FleetMessage FleetLink::Private::withLoad() const
+FleetMessage FleetLink::Private::loadMessage() const
 {
-    FleetMessage message = base();
-    OwnAccount account = callbacks.account();
-    message.loads = std::move(account.loads);
-    message.uses = std::move(account.uses);
+    FleetMessage message = baseMessage();
+    NodeLoadReport loadReport = callbacks.loadReport();
+    message.loads = std::move(loadReport.loads);
+    message.uses = std::move(loadReport.uses);
     message.store = clusterState.loadEstimator.view();
     return message;
 }
 
 // Where a node may be that has not spoken yet.
-std::set<std::string> FleetLink::Private::unheardAddresses() const
+std::set<std::string> FleetLink::Private::unconfirmedAddresses() const
 {
     std::set<std::string> result(identity.seeds.begin(), identity.seeds.end());
     for (const auto &[address, until] : contacts) {
@@ -190,7 +190,7 @@
     for (const auto &[id, peer] : peers) {
         socket->send(peer.peerAddress, bytes);
     }
-    for (const std::string &address : unheardAddresses()) {
+    for (const std::string &address : unconfirmedAddresses()) {
         socket->send(address, bytes);
     }
 }
@@ -199,38 +199,39 @@
 // count this node's voice; they hear it when it claims, and else now and then.
 void FleetLink::Private::sendLoad(const FleetMessage &message)
 {
-    FleetMessage near = message;
-    near.interval = scopeLimits.inScopeInterval;
-    FleetMessage full = near;
-    near.uses.clear();
-    FleetMessage far = message;
-    far.uses.clear();
-    far.loads.reset();
-    const std::string whole = encodeFleetMessage(full);
-    const std::string most = encodeFleetMessage(near);
-    const std::string least = encodeFleetMessage(far);
-    const bool isStarting = now() - startedAt < StartTime;
-    const bool isFarDue = now() - farToldAt >= (isStarting ? FarIntervalAtStart : scopeLimits.outOfScopeInterval) || isNews(message);
-    if (isFarDue) {
-        farToldAt = now();
-    }
-    const std::set<NodeId> orderers = holders();
+    FleetMessage inScopeMessage = message;
+    inScopeMessage.interval = scopeLimits.inScopeInterval;
+    FleetMessage holderMessage = inScopeMessage;
+    inScopeMessage.uses.clear();
+    FleetMessage outOfScopeMessage = message;
+    outOfScopeMessage.uses.clear();
+    outOfScopeMessage.loads.reset();
+    const std::string holderBytes = encodeFleetMessage(holderMessage);
+    const std::string inScopeBytes = encodeFleetMessage(inScopeMessage);
+    const std::string outOfScopeBytes = encodeFleetMessage(outOfScopeMessage);
+    const bool isStarting = now() - startedAt < StartupTime;
+    const bool isOutOfScopeDue =
+        now() - outOfScopeSentAt >= (isStarting ? OutOfScopeIntervalAtStart : scopeLimits.outOfScopeInterval) || isUrgent(message);
+    if (isOutOfScopeDue) {
+        outOfScopeSentAt = now();
+    }
+    const std::set<NodeId> orderHolders = holders();
     for (const auto &[id, peer] : peers) {
-        if (orderers.contains(id)) {
-            socket->send(peer.peerAddress, whole);
+        if (orderHolders.contains(id)) {
+            socket->send(peer.peerAddress, holderBytes);
         } else if (scope.isScopePeer(peer.zone, peer.scope)) {
-            socket->send(peer.peerAddress, most);
-        } else if (isFarDue) {
-            socket->send(peer.peerAddress, least);
+            socket->send(peer.peerAddress, inScopeBytes);
+        } else if (isOutOfScopeDue) {
+            socket->send(peer.peerAddress, outOfScopeBytes);
         }
     }
-    for (const std::string &address : unheardAddresses()) {
-        socket->send(address, most);
+    for (const std::string &address : unconfirmedAddresses()) {
+        socket->send(address, inScopeBytes);
     }
 }
 
 // What nodes must hear at once, wherever they are: who claims, who gives up.
-bool FleetLink::Private::isNews(const FleetMessage &message) const
+bool FleetLink::Private::isUrgent(const FleetMessage &message) const
 {
     return !message.claims.empty() || !message.releases.empty() || message.isLeaving;
 }
@@ -246,11 +247,11 @@
     return result;
 }
 
-void FleetLink::Private::tellWants()
+void FleetLink::Private::sendPendingAdapters()
 {
     readClock();
-    areWantsDue = false;
-    FleetMessage message = base();
+    isPendingSendScheduled = false;
+    FleetMessage message = baseMessage();
     message.uses = callbacks.pendingAdapters();
     message.interval = scopeLimits.inScopeInterval; // Holders are told of loads as often, wherever they are.
     if (message.uses.empty()) {
@@ -265,7 +266,7 @@
     }
 }
 
-std::vector<std::string> FleetLink::Private::someContacts(std::size_t count)
+std::vector<std::string> FleetLink::Private::randomContacts(std::size_t count)
 {
     std::vector<std::string> known;
     for (const auto &[id, peer] : peers) {
@@ -279,7 +280,7 @@
 }
 
 // A node that knows only the seeds would count a fleet of four, and so would each of the others: several majorities at once.
-void FleetLink::Private::noteContacts(const FleetMessage &message)
+void FleetLink::Private::addContacts(const FleetMessage &message)
 {
     contacts.erase(message.peerAddress);
     for (const std::string &address : message.contacts) {
@@ -297,28 +298,28 @@
 void FleetLink::Private::heartbeat()
 {
     updateScope();
-    FleetMessage message = withLoad();
-    message.contacts = someContacts(now() - startedAt < StartTime ? ContactsAtStart : ContactsLater);
+    FleetMessage message = loadMessage();
+    message.contacts = randomContacts(now() - startedAt < StartupTime ? ContactsAtStart : ContactsLater);
     for (std::size_t shard = 0; shard < leases.size(); ++shard) {
-        const bool holdsOther = !message.claims.empty() || holdsAfter(shard);
+        const bool holdsOther = !message.claims.empty() || holdsLaterShard(shard);
         if (const auto claim = leases[shard].claim(message.isReady, holdsOther, now(), loop.clock().wallTime())) {
             message.claims.push_back(*claim);
         }
     }
     sendLoad(message);
-    if (isAnyHolder() && now() - rowsToldAt >= RowsInterval) {
-        rowsToldAt = now();
+    if (holdsAnyShard() && now() - residenciesSentAt >= ResidencyInterval) {
+        residenciesSentAt = now();
         std::vector<EngineResidency> residencies;
-        for (const auto &[id, residency] : ownRows) {
+        for (const auto &[id, residency] : ownResidencies) {
             residencies.push_back(residency);
         }
-        tellRows(residencies);
+        sendResidencies(residencies);
     }
-    noteHolder();
+    logHolderChanges();
 }
 
 // Rows of engines of one zone go to the nodes that use them.
-void FleetLink::Private::tellRows(const std::vector<EngineResidency> &residencies)
+void FleetLink::Private::sendResidencies(const std::vector<EngineResidency> &residencies)
 {
     std::map<ZoneId, std::vector<EngineResidency>> byZone;
     for (const EngineResidency &residency : residencies) {
@@ -327,12 +328,12 @@
             byZone[shards.zoneOf(shards.shardOf(*record))].push_back(residency);
         }
     }
-    for (const auto &[zone, ofZone] : byZone) {
-        for (std::size_t next = 0; next < ofZone.size();) {
-            FleetMessage message = base();
-            for (std::size_t copies = 0; next < ofZone.size() && copies < CopiesInDatagram; ++next) {
-                copies += ofZone[next].copies.size();
-                message.residencies.push_back(ofZone[next]);
+    for (const auto &[zone, zoneResidencies] : byZone) {
+        for (std::size_t next = 0; next < zoneResidencies.size();) {
+            FleetMessage message = baseMessage();
+            for (std::size_t copies = 0; next < zoneResidencies.size() && copies < MaxCopiesInDatagram; ++next) {
+                copies += zoneResidencies[next].copies.size();
+                message.residencies.push_back(zoneResidencies[next]);
             }
             const std::string bytes = encodeFleetMessage(message);
             for (const auto &[id, peer] : peers) {
@@ -385,7 +386,7 @@
     }
 }
 
-void FleetLink::Private::notePeer(const FleetMessage &message)
+void FleetLink::Private::updatePeer(const FleetMessage &message)
 {
     const bool isNew = !peers.contains(message.sender);
     Peer &peer = peers[message.sender];
@@ -399,19 +400,19 @@
     }
     const ConfigVersion own = clusterState.routes != nullptr ? clusterState.routes->version() : ConfigVersion();
     if (peer.configVersion > own) {
-        callbacks.onLaterConfiguration(peer);
+        callbacks.onNewerConfiguration(peer);
     }
     if (hasReadFurther) {
-        callbacks.onStoreNews();
+        callbacks.onPeerReadFurther();
     }
 }
 
 // A node that nobody knew has just started, or comes back from behind a cut: it learns the others at once, and not from what one of them
 // happens to say in the next seconds.
-void FleetLink::Private::greet(const FleetMessage &from)
+void FleetLink::Private::sendContacts(const FleetMessage &from)
 {
-    FleetMessage answer = base();
-    answer.contacts = someContacts(ContactsInGreeting);
+    FleetMessage answer = baseMessage();
+    answer.contacts = randomContacts(ContactsForNewPeer);
     answer.store = clusterState.loadEstimator.view();
     socket->send(from.peerAddress, encodeFleetMessage(answer));
 }
@@ -419,10 +420,10 @@
 void FleetLink::Private::onMessage(const FleetMessage &message)
 {
     const bool isNew = !peers.contains(message.sender);
-    notePeer(message);
-    noteContacts(message);
+    updatePeer(message);
+    addContacts(message);
     if (isNew) {
-        greet(message);
+        sendContacts(message);
     }
     std::vector<LeaseGrant> grants;
     for (OrderLease &lease : leases) {
@@ -431,7 +432,7 @@
         }
     }
     if (!grants.empty()) {
-        FleetMessage answer = base();
+        FleetMessage answer = baseMessage();
         answer.grants = std::move(grants);
         if (scope.isScopePeer(message.zone, message.scope)) {
             answer.interval = scopeLimits.inScopeInterval;
@@ -447,16 +448,16 @@
     if (message.store) {
         clusterState.loadEstimator.adopt(*message.store, now());
     }
-    bool isNews = false;
+    bool isNewer = false;
     for (const EngineResidency &residency : message.residencies) {
-        isNews = clusterState.updateResidency(residency, now()) || isNews;
+        isNewer = clusterState.updateResidency(residency, now()) || isNewer;
     }
-    if (isNews) {
-        callbacks.onRows();
+    if (isNewer) {
+        callbacks.onResidencyChanged();
     }
 }
 
-void FleetLink::Private::noteHolder()
+void FleetLink::Private::logHolderChanges()
 {
     for (std::size_t shard = 0; shard < leases.size(); ++shard) {
         const OrderLease &lease = leases[shard];
@@ -475,11 +476,11 @@
 {
     readClock();
     for (auto at = peers.begin(); at != peers.end();) {
-        const bool isOld = now() - at->second.heardAt > PeerTimeout;
-        if (isOld) {
+        const bool isExpired = now() - at->second.lastReceivedAt > PeerTimeout;
+        if (isExpired) {
             log.write(Important, "fleet", "peer_forgotten", { { "peer", at->first.value() } });
         }
-        at = isOld ? peers.erase(at) : std::next(at);
+        at = isExpired ? peers.erase(at) : std::next(at);
     }
     heartbeat();
     loop.after(scopeLimits.inScopeInterval, [weak = weak_from_this()] {
@@ -523,22 +524,22 @@
     d->isLeaving = true;
     for (std::size_t shard = 0; shard < d->leases.size(); ++shard) {
         if (d->leases[shard].isHolder(d->now())) {
-            d->released.emplace_back(shard);
+            d->releasedShards.emplace_back(shard);
         }
         d->leases[shard].release();
     }
-    d->sendToAll(d->base());
+    d->sendToAll(d->baseMessage());
 }
 
-void FleetLink::tellWants()
+void FleetLink::sendPendingAdapters()
 {
-    if (d->areWantsDue) {
+    if (d->isPendingSendScheduled) {
         return;
     }
-    d->areWantsDue = true;
-    d->loop.after(WantsDelay, [weak = std::weak_ptr(d)] {
+    d->isPendingSendScheduled = true;
+    d->loop.after(PendingAdaptersDelay, [weak = std::weak_ptr(d)] {
         if (const auto self = weak.lock()) {
-            self->tellWants();
+            self->sendPendingAdapters();
         }
     });
 }
@@ -546,11 +547,11 @@
 void FleetLink::announce(const std::vector<EngineResidency> &residencies)
 {
     for (const EngineResidency &residency : residencies) {
-        d->ownRows[residency.engine] = residency;
+        d->ownResidencies[residency.engine] = residency;
         d->clusterState.updateResidency(residency, d->now());
     }
-    d->tellRows(residencies);
-    d->callbacks.onRows();
+    d->sendResidencies(residencies);
+    d->callbacks.onResidencyChanged();
 }
 
 const OrderLease &FleetLink::lease(EngineShard shard) const
@@ -563,7 +564,7 @@
     return d->shards;
 }
 
-bool FleetLink::areWeighedTogether(EngineShard one, EngineShard other) const
+bool FleetLink::arePlannedTogether(EngineShard one, EngineShard other) const
 {
     return d->scope.zone().isEmpty() || d->shards.zoneOf(one) == d->shards.zoneOf(other);
 }
@@ -587,7 +588,7 @@
     return !d->scope.zone().isEmpty();
 }
 
-std::vector<const Peer *> FleetLink::near() const
+std::vector<const Peer *> FleetLink::scopePeers() const
 {
     std::vector<const Peer *> result = alive();
     std::erase_if(result, [this](const Peer *peer) { return !d->scope.isScopePeer(peer->zone, peer->scope); });
--- a/main/entry/fleetlink.h
+++ b/main/entry/fleetlink.h
@@ -43,7 +43,7 @@
     bool isReady = false;
     bool isLeaving = false;
     ConfigVersion configVersion;
-    Time heardAt;
+    Time lastReceivedAt;
     double capacity = 0;
     std::uint64_t readRevision = 0;
     bool isReadingStore = false;
@@ -52,14 +52,14 @@
 };
 
 /** What this node says of its reading of the store. */
-struct StoreSight
+struct StoreReadState
 {
     std::uint64_t revision = 0;
     bool isReading = false;
 };
 
 /** What this node says of its load. */
-struct OwnAccount
+struct NodeLoadReport
 {
     std::vector<UpstreamLoad> loads;
     std::vector<AdapterUse> uses;
@@ -72,7 +72,7 @@
     struct Callbacks
     {
         /** Asked before each message that speaks of load; what was counted since is counted anew. */
-        std::function<OwnAccount()> account;
+        std::function<NodeLoadReport()> loadReport;
         /** Adapters that requests of this node wait for. */
         std::function<std::vector<AdapterUse>()> pendingAdapters;
         /** Whether this node takes requests. */
@@ -82,13 +82,13 @@
         /** A peer said only what it waits for. */
         std::function<void(const NodeId &, const std::vector<AdapterUse> &)> onPendingAdapters;
         /** How far this node has read the store, and whether it reads it itself. */
-        std::function<StoreSight()> storeSight;
+        std::function<StoreReadState()> storeReadState;
         /** A peer has read further than it had. */
-        std::function<void()> onStoreNews;
+        std::function<void()> onPeerReadFurther;
         /** Rows of engines that were news. */
-        std::function<void()> onRows;
+        std::function<void()> onResidencyChanged;
         /** A peer has a later configuration than this node. */
-        std::function<void(const Peer &)> onLaterConfiguration;
+        std::function<void(const Peer &)> onNewerConfiguration;
     };
 
     FleetLink(
@@ -100,7 +100,7 @@
     /** Tells all that this node leaves; it gives no orders from now on. */
     void leave();
     /** Tells the nodes that give orders at once what this one waits for. */
-    void tellWants();
+    void sendPendingAdapters();
     /** Tells all nodes that use these engines. */
     void announce(const std::vector<EngineResidency> &residencies);
 
@@ -108,13 +108,13 @@
     /** The lease of one of shards(). */
     const OrderLease &lease(EngineShard shard) const;
     /** Whether what stands at the engines of both shards is told to the same nodes, and weighed together. */
-    bool areWeighedTogether(EngineShard one, EngineShard other) const;
+    bool arePlannedTogether(EngineShard one, EngineShard other) const;
     /** How long until any node gives orders to engines; unset while this node does not hear most of the others. */
     std::optional<Duration> ordersIn() const;
     /** Whether the fleet is so large that nodes tell each other only of the engines that they share. */
     bool isDivided() const;
     /** Those of the alive peers that use the same engines as this node. */
-    std::vector<const Peer *> near() const;
+    std::vector<const Peer *> scopePeers() const;
     /** Peers that are alive now. */
     std::vector<const Peer *> alive() const;
 
--- a/main/entry/orderrunner.cpp
+++ b/main/entry/orderrunner.cpp
@@ -159,7 +159,7 @@
         }
         for (const UpstreamRecord *record : clusterState.upstreams.usable(service.name)) {
             const EngineShard owner = fleet.shards().shardOf(*record);
-            if (!fleet.areWeighedTogether(owner, shard)) {
+            if (!fleet.arePlannedTogether(owner, shard)) {
                 continue;
             }
             const FleetLoad load = clusterState.loadTracker.load(record->id, now());
@@ -202,7 +202,7 @@
 {
     PlanRotation result { 0, 0 };
     for (std::uint64_t other = 0; other < orderedShards.size(); ++other) {
-        if (!fleet.areWeighedTogether(EngineShard(other), shard)) {
+        if (!fleet.arePlannedTogether(EngineShard(other), shard)) {
             continue;
         }
         if (EngineShard(other) == shard) {
