--- a/main/entry/orderrunner.cpp
+++ b/main/entry/orderrunner.cpp
@@ -12,7 +12,7 @@
 {
 
 // Without the lease there is nothing to do but to see whether it has come.
-constexpr Duration IdleInterval { 200 };
+constexpr Duration LeaseCheckInterval { 200 };
 constexpr Duration ConnectTimeout { 300 };
 // An order or report that has no answer by then has none to come; the plan asks again.
 constexpr Duration CallTimeout { 1000 };
@@ -20,14 +20,14 @@
 constexpr Duration AcknowledgeTimeout { 700 };
 // Wants, answers and rows that come within this are decided upon together. Each round weighs all wants against all engines; a round for
 // each datagram takes a holder half of its processor time, and its callers' answers wait meanwhile.
-constexpr Duration DecidePause { 8 };
+constexpr Duration DecisionInterval { 8 };
 // Who gives orders is asked again this often; the answer counts all nodes' votes, and a lease lasts much longer.
-constexpr Duration OrderedInterval { 50 };
+constexpr Duration HolderCheckInterval { 50 };
 // What is believed of the weight store is logged this often by those who order, so that a wait for an adapter can be explained afterwards.
 constexpr Duration StoreLogInterval = Duration::seconds(5);
 constexpr int OkStatus = 200;
 
-const char *wordOf(OrderAnswer answer)
+const char *answerName(OrderAnswer answer)
 {
     switch (answer) {
     case OrderAnswer::Accepted:
@@ -66,9 +66,9 @@
     Time decidedAt;
     Time storeLoggedAt;
     TimerId timer = 0;
-    /** Which shards have somebody who gives orders, as of @a orderedAt. */
-    std::vector<bool> orderedShards;
-    Time orderedAt;
+    /** Which shards have somebody who gives orders, as of @a holdersCheckedAt. */
+    std::vector<bool> hasActiveHolder;
+    Time holdersCheckedAt;
 
     Private(IoLoop &loop, EventLog &log, EntryMetrics &metrics, ClusterState &clusterState, FleetLink &fleet, EngineShard shard,
         NodeId self, std::function<std::vector<AdapterUse>()> ownUses)
@@ -90,22 +90,22 @@
     void tick();
     void decide();
     void decideSoon();
-    bool followLease();
-    void logStore();
-    PlanRotation turn() const;
-    void updateOrdered();
+    bool updateLease();
+    void logStoreEstimates();
+    PlanRotation rotation() const;
+    void updateActiveHolders();
     std::vector<PlannedEngine> engines() const;
-    void carryOut(const PlanAction &action, std::vector<EngineResidency> &residencies);
-    void give(const EngineOrder &order);
-    void onAnswer(const EngineOrder &order, FencingToken under, const CallResult &result, Time askedAt);
-    void askReport(const UpstreamId &engine);
-    HttpCall callTo(const UpstreamRecord &record, std::string_view path) const;
+    void execute(const PlanAction &action, std::vector<EngineResidency> &residencies);
+    void sendOrder(const EngineOrder &order);
+    void onAnswer(const EngineOrder &order, FencingToken callFence, const CallResult &result, Time requestedAt);
+    void requestReport(const UpstreamId &engine);
+    HttpCall makeCall(const UpstreamRecord &record, std::string_view path) const;
 };
 
 void OrderRunner::Private::tick()
 {
     decide();
-    const Duration pause = plan != nullptr ? plan->nextDecisionTime(now()) - now() : IdleInterval;
+    const Duration pause = plan != nullptr ? plan->nextDecisionTime(now()) - now() : LeaseCheckInterval;
     loop.cancel(timer);
     timer = loop.after(pause, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
@@ -115,7 +115,7 @@
 }
 
 // Whether this node may order now; a plan belongs to one lease.
-bool OrderRunner::Private::followLease()
+bool OrderRunner::Private::updateLease()
 {
     const auto token = fleet.lease(shard).mayOrder(now());
     if (!token) {
@@ -135,15 +135,15 @@
     return true;
 }
 
-void OrderRunner::Private::updateOrdered()
+void OrderRunner::Private::updateActiveHolders()
 {
-    if (!orderedShards.empty() && now() - orderedAt < OrderedInterval) {
+    if (!hasActiveHolder.empty() && now() - holdersCheckedAt < HolderCheckInterval) {
         return;
     }
-    orderedAt = now();
-    orderedShards.clear();
+    holdersCheckedAt = now();
+    hasActiveHolder.clear();
     for (std::uint64_t other = 0; other < fleet.shards().count(); ++other) {
-        orderedShards.push_back(EngineShard(other) == shard || fleet.lease(EngineShard(other)).ordersIn(now()) == Duration(0));
+        hasActiveHolder.push_back(EngineShard(other) == shard || fleet.lease(EngineShard(other)).ordersIn(now()) == Duration(0));
     }
 }
 
@@ -163,7 +163,7 @@
                 continue;
             }
             const FleetLoad load = clusterState.loadTracker.load(record->id, now());
-            const bool hasHolder = orderedShards[owner.value()];
+            const bool hasHolder = hasActiveHolder[owner.value()];
             result.push_back(
                 PlannedEngine { record, &*service.engine, load.running, load.pendingTokens, clusterState.outliers.share(record->id, now()),
                     owner == shard, hasHolder, clusterState.outliers.isReachable(record->id, now()) });
@@ -178,14 +178,14 @@
         return;
     }
     isDecisionDue = true;
-    loop.after(std::max(decidedAt + DecidePause - now(), Duration(0)), [weak = weak_from_this()] {
+    loop.after(std::max(decidedAt + DecisionInterval - now(), Duration(0)), [weak = weak_from_this()] {
         if (const auto self = weak.lock(); self != nullptr && self->isDecisionDue) {
             self->tick();
         }
     });
 }
 
-void OrderRunner::Private::logStore()
+void OrderRunner::Private::logStoreEstimates()
 {
     if (now() - storeLoggedAt < StoreLogInterval) {
         return;
@@ -198,17 +198,17 @@
             { "usualMs", loads.firstPollDelay(false).milliseconds() }, { "atHandMs", loads.firstPollDelay(true).milliseconds() } });
 }
 
-PlanRotation OrderRunner::Private::turn() const
+PlanRotation OrderRunner::Private::rotation() const
 {
     PlanRotation result { 0, 0 };
-    for (std::uint64_t other = 0; other < orderedShards.size(); ++other) {
+    for (std::uint64_t other = 0; other < hasActiveHolder.size(); ++other) {
         if (!fleet.arePlannedTogether(EngineShard(other), shard)) {
             continue;
         }
         if (EngineShard(other) == shard) {
             result.index = result.count;
         }
-        result.count += orderedShards[other] ? 1 : 0;
+        result.count += hasActiveHolder[other] ? 1 : 0;
     }
     return result;
 }
@@ -216,38 +216,38 @@
 void OrderRunner::Private::decide()
 {
     isDecisionDue = false;
-    if (!followLease()) {
+    if (!updateLease()) {
         return;
     }
     decidedAt = now();
-    updateOrdered();
+    updateActiveHolders();
     plan->setEngines(engines(), clusterState.residencies, now());
-    plan->setRotation(turn());
+    plan->setRotation(rotation());
     for (const auto &[adapter, known] : clusterState.versions) {
         plan->setVersion(adapter, known.version);
     }
     plan->onUses(self, ownUses(), now());
-    logStore();
+    logStoreEstimates();
     std::vector<EngineResidency> residencies;
     for (const PlanAction &action : plan->decide(now())) {
-        carryOut(action, residencies);
+        execute(action, residencies);
     }
     if (!residencies.empty()) {
         fleet.announce(residencies);
     }
 }
 
-void OrderRunner::Private::carryOut(const PlanAction &action, std::vector<EngineResidency> &residencies)
+void OrderRunner::Private::execute(const PlanAction &action, std::vector<EngineResidency> &residencies)
 {
     std::visit(Overloaded {
-                   [this](const SendOrder &give) { this->give(give.order); },
-                   [this](const RequestEngineReport &ask) { askReport(ask.engine); },
+                   [this](const SendOrder &sendOrder) { this->sendOrder(sendOrder.order); },
+                   [this](const RequestEngineReport &request) { requestReport(request.engine); },
                    [&residencies](const AnnounceResidency &announce) { residencies.push_back(announce.residency); },
                },
         action);
 }
 
-HttpCall OrderRunner::Private::callTo(const UpstreamRecord &record, std::string_view path) const
+HttpCall OrderRunner::Private::makeCall(const UpstreamRecord &record, std::string_view path) const
 {
     HttpCall call;
     call.url = "http://" + record.address + std::string(path);
@@ -259,61 +259,61 @@
     return call;
 }
 
-void OrderRunner::Private::give(const EngineOrder &order)
+void OrderRunner::Private::sendOrder(const EngineOrder &order)
 {
     const UpstreamRecord *record = clusterState.upstreams.usable(order.engine);
-    const FencingToken under = fence;
+    const FencingToken callFence = fence;
     if (record == nullptr) {
         plan->onOrderAnswer(order, OrderAnswer::WrongEngine, now());
         return;
     }
-    HttpCall call = callTo(*record, Platform::orderPath());
+    HttpCall call = makeCall(*record, Platform::orderPath());
     call.method = "POST";
     call.headers = Platform::orderHeaders(order);
-    call.body = Platform::orderBody(order, Platform::OrderAuthority { self, under });
+    call.body = Platform::orderBody(order, Platform::OrderAuthority { self, callFence });
     // A node that slept or was cut off between the decision and this moment may hold the lease no more; the loop's own time is from before.
-    call.maySend = [weak = weak_from_this(), under] {
+    call.maySend = [weak = weak_from_this(), callFence] {
         const auto self = weak.lock();
-        return self != nullptr && self->fleet.lease(self->shard).mayOrder(self->loop.clock().now()) == under;
+        return self != nullptr && self->fleet.lease(self->shard).mayOrder(self->loop.clock().now()) == callFence;
     };
-    call.onDone = [weak = weak_from_this(), order, under, askedAt = now()](const CallResult &result) {
+    call.onDone = [weak = weak_from_this(), order, callFence, requestedAt = now()](const CallResult &result) {
         if (const auto self = weak.lock()) {
-            self->onAnswer(order, under, result, askedAt);
+            self->onAnswer(order, callFence, result, requestedAt);
         }
     };
     loop.client().start(std::move(call));
 }
 
-void OrderRunner::Private::onAnswer(const EngineOrder &order, FencingToken under, const CallResult &result, Time askedAt)
+void OrderRunner::Private::onAnswer(const EngineOrder &order, FencingToken callFence, const CallResult &result, Time requestedAt)
 {
     const OrderAnswer answer = result.state == AttemptState::Answered ? Platform::decodeOrderAnswer(result.status) : OrderAnswer::Unknown;
     log.write(EventLog::Severity::Routine, "orders", "answered",
         { { "engine", order.engine.value() }, { "adapter", order.adapter.value() }, { "version", order.version.value() },
             { "load", order.kind == EngineOrder::Kind::Load }, { "status", std::int64_t(result.status) }, { "error", result.detail },
-            { "tookMs", (now() - askedAt).milliseconds() } });
-    metrics.order(wordOf(answer));
-    if (plan != nullptr && under == fence) {
+            { "tookMs", (now() - requestedAt).milliseconds() } });
+    metrics.order(answerName(answer));
+    if (plan != nullptr && callFence == fence) {
         plan->onOrderAnswer(order, answer, now());
         decideSoon();
     }
 }
 
-void OrderRunner::Private::askReport(const UpstreamId &engine)
+void OrderRunner::Private::requestReport(const UpstreamId &engine)
 {
     const UpstreamRecord *record = clusterState.upstreams.usable(engine);
     if (record == nullptr) {
         return;
     }
-    HttpCall call = callTo(*record, Platform::reportPath());
+    HttpCall call = makeCall(*record, Platform::reportPath());
     call.headers = Platform::reportHeaders(engine);
     auto body = std::make_shared<std::string>();
     call.onData = [body](std::string_view data) {
         body->append(data);
         return true;
     };
-    call.onDone = [weak = weak_from_this(), body, engine, under = fence, askedAt = now()](const CallResult &result) {
+    call.onDone = [weak = weak_from_this(), body, engine, callFence = fence, requestedAt = now()](const CallResult &result) {
         const auto self = weak.lock();
-        if (self == nullptr || self->plan == nullptr || under != self->fence) {
+        if (self == nullptr || self->plan == nullptr || callFence != self->fence) {
             return;
         }
         if (result.state != AttemptState::Answered || result.status != OkStatus) {
@@ -325,7 +325,7 @@
                 { { "engine", engine.value() }, { "reason", report.error().detail } });
             return;
         }
-        self->plan->onReport(engine, report.value(), askedAt);
+        self->plan->onReport(engine, report.value(), requestedAt);
     };
     loop.client().start(std::move(call));
 }
