--- a/main/entry/entrynode.cpp
+++ b/main/entry/entrynode.cpp
@@ -303,8 +303,8 @@
     for (const Peer *peer : near) {
         if (peer->id == turn.fetchFrom) {
             storeReaderElection.onFetched(clock.now());
-            peers->followFrom(*peer, [this](bool hasCome) {
-                if (!hasCome) {
+            peers->fetchNow(*peer, [this](bool hasSucceeded) {
+                if (!hasSucceeded) {
                     storeReaderElection.onFetchFailed(clock.now());
                     followStore();
                 }
--- a/main/entry/peerservice.cpp
+++ b/main/entry/peerservice.cpp
@@ -11,11 +11,11 @@
 namespace
 {
 
-constexpr const char *CopyPath = "/peer/store";
+constexpr const char *StorePath = "/peer/store";
 constexpr Duration ConnectTimeout { 300 };
 constexpr Duration FetchTimeout { 1500 };
 // The store itself usually brings the same news within this; then nothing need be fetched.
-constexpr Duration PatienceWithStore { 250 };
+constexpr Duration FetchDelay { 250 };
 constexpr int OkStatus = 200;
 constexpr int NotFoundStatus = 404;
 constexpr int GoneStatus = 410;
@@ -25,11 +25,11 @@
 // How long ago the store held what the answering node knows of it, in ms.
 constexpr const char *KnownHeader = "Store-Known-Ms-Ago";
 
-std::optional<Duration> millisecondsOf(const HttpHeaders &headers, const char *wanted)
+std::optional<Duration> durationHeader(const HttpHeaders &headers, const char *headerName)
 {
     for (const auto &[name, value] : headers) {
         std::int64_t count = 0;
-        if (absl::EqualsIgnoreCase(name, wanted) && absl::SimpleAtoi(value, &count) && count >= 0) {
+        if (absl::EqualsIgnoreCase(name, headerName) && absl::SimpleAtoi(value, &count) && count >= 0) {
             return Duration(count);
         }
     }
@@ -58,14 +58,14 @@
 void PeerService::Private::fetch(const Peer &peer, std::function<void(bool)> onDone)
 {
     HttpCall call;
-    call.url = "http://" + peer.peerAddress + CopyPath + "?" + AfterParameter + "=" + std::to_string(store.revision());
+    call.url = "http://" + peer.peerAddress + StorePath + "?" + AfterParameter + "=" + std::to_string(store.revision());
     call.connectTimeout = ConnectTimeout;
     call.totalTimeout = FetchTimeout;
     call.acknowledgeTimeout = ConnectTimeout;
     auto changes = std::make_shared<PeerChanges>();
     call.onHead = [changes](int, const HttpHeaders &headers) {
-        changes->timeSinceRecovery = millisecondsOf(headers, RegainedHeader);
-        changes->snapshotAge = millisecondsOf(headers, KnownHeader);
+        changes->timeSinceRecovery = durationHeader(headers, RegainedHeader);
+        changes->snapshotAge = durationHeader(headers, KnownHeader);
     };
     call.onData = [changes](std::string_view data) {
         changes->body.append(data);
@@ -77,12 +77,13 @@
             return;
         }
         self->isFetching = false;
-        const bool hasCome = result.state == AttemptState::Answered && result.status == OkStatus && self->store.mergeFromPeer(id, *changes);
-        if (!hasCome) {
+        const bool hasSucceeded =
+            result.state == AttemptState::Answered && result.status == OkStatus && self->store.mergeFromPeer(id, *changes);
+        if (!hasSucceeded) {
             self->log.write(EventLog::Severity::Important, "peers", "no_copy",
                 { { "peer", id.value() }, { "status", std::int64_t(result.status) }, { "reason", result.detail } });
         }
-        onDone(hasCome);
+        onDone(hasSucceeded);
     };
     loop.client().start(std::move(call));
 }
@@ -96,7 +97,7 @@
 
 void PeerService::answer(const HttpRequest &request, HttpExchange &exchange) const
 {
-    if (request.path != CopyPath) {
+    if (request.path != StorePath) {
         exchange.respond(NotFoundStatus, {}, "");
         return;
     }
@@ -126,15 +127,15 @@
         return;
     }
     d->isFetching = true;
-    const Duration patience = d->store.hasReadAll() && d->store.timeSinceLastAnswer() == Duration(0) ? PatienceWithStore : Duration(0);
-    d->loop.after(patience, [weak = std::weak_ptr(d), peer] {
+    const Duration delay = d->store.hasReadAll() && d->store.timeSinceLastAnswer() == Duration(0) ? FetchDelay : Duration(0);
+    d->loop.after(delay, [weak = std::weak_ptr(d), peer] {
         if (const auto self = weak.lock()) {
             self->fetch(peer, [](bool) {});
         }
     });
 }
 
-void PeerService::followFrom(const Peer &peer, std::function<void(bool)> onDone)
+void PeerService::fetchNow(const Peer &peer, std::function<void(bool)> onDone)
 {
     if (d->isFetching) {
         return;
--- a/main/entry/peerservice.h
+++ b/main/entry/peerservice.h
@@ -29,7 +29,7 @@
     /** Fetches what @p peer has read beyond this node, unless that is on its way already; the store may bring it first. */
     void fetchFrom(const Peer &peer);
     /** The same at once. @p onDone: whether it came. */
-    void followFrom(const Peer &peer, std::function<void(bool)> onDone);
+    void fetchNow(const Peer &peer, std::function<void(bool)> onDone);
 
 private:
     struct Private;
