--- a/main/entry/entrynode.cpp
+++ b/main/entry/entrynode.cpp
@@ -33,10 +33,10 @@
 // Callers hold an answer for this long: short, so that they leave a node that is going away before it is gone.
 constexpr Duration AddressLifetime { 2000 };
 // Fewer nodes than this in the caller's zone, and it is told the others as well.
-constexpr std::size_t LeastNearNodes = 2;
+constexpr std::size_t MinSameZoneNodes = 2;
 // Callers learn within an address's lifetime that this node leaves; until then what they send is still taken. Later it is refused, unless
 // it surely ends before the platform kills the process: an answer that the kill cuts off may be a payment that nobody knows the end of.
-constexpr Duration TakeAllAfterDrain { 2500 };
+constexpr Duration AcceptAllAfterDrain { 2500 };
 constexpr Duration LingerAfterDrain { 3200 };
 // Before the platform's SIGKILL there must be time to close.
 constexpr Duration ReserveBeforeKill { 500 };
@@ -65,11 +65,11 @@
     std::unique_ptr<PeerService> peers;
     StoreReaderElection storeReaderElection;
     /** What the last turn said. */
-    bool readsStore = true;
+    bool isStoreReader = true;
     std::vector<std::unique_ptr<HttpServer>> servers;
     HttpServer *callerServer = nullptr;
-    std::atomic<bool> isDrainAsked { false };
-    std::atomic<bool> isReloadAsked { false };
+    std::atomic<bool> isDrainRequested { false };
+    std::atomic<bool> isReloadRequested { false };
     bool isLeaving = false;
     bool isListenerClosed = false;
     Time drainStartedAt;
@@ -83,14 +83,14 @@
 
     Result<bool> open();
     Result<HttpServer *> listen(const std::string &address, HttpHandler handler);
-    void makeParts();
+    void makeComponents();
     bool isReady() const;
     void onChanges(const ClusterStateChanges &changes);
     void answerDirectory(const HttpRequest &request, HttpExchange &exchange);
     void answerReadiness(const HttpRequest &request, HttpExchange &exchange) const;
     void answerMetrics(const HttpRequest &request, HttpExchange &exchange) const;
     void checkConnections();
-    void followStore();
+    void updateStoreReading();
     void checkSignals();
     void beginDrain();
     void checkDrained();
@@ -101,7 +101,7 @@
     return !isLeaving && clusterState.routes != nullptr && clusterState.upstreams.size() > 0;
 }
 
-void EntryNode::Private::makeParts()
+void EntryNode::Private::makeComponents()
 {
     store = std::make_unique<StoreReader>(loop, log, clusterState, settings.storeAddress, settings.configurationBound,
         [this](const ClusterStateChanges &changes) { onChanges(changes); });
@@ -116,7 +116,7 @@
     fleetCallbacks.isReady = [this] { return isReady(); };
     fleetCallbacks.onUses = [this](const NodeId &node, const std::vector<AdapterUse> &uses) { orders->onUses(node, uses); };
     fleetCallbacks.storeReadState = [this] { return StoreReadState { store->revision(), store->isReading() }; };
-    fleetCallbacks.onPeerReadFurther = [this] { followStore(); };
+    fleetCallbacks.onPeerReadFurther = [this] { updateStoreReading(); };
     fleetCallbacks.onResidencyChanged = [this] { forwarder->onClusterStateChanged(); };
     fleetCallbacks.onNewerConfiguration = [this](const Peer &peer) { peers->fetchFrom(peer); };
     OrderLeaseLimits limits;
@@ -128,12 +128,12 @@
 
     orders = std::make_unique<OrderRunner>(loop, log, metrics, clusterState, *fleet, settings.node, [this] { return forwarder->uses(); });
 
-    ForwarderSettings forwarding;
-    forwarding.zone = settings.zone;
-    forwarding.retryShare = settings.retryShare;
-    forwarding.retryReserve = settings.retryReserve;
-    forwarding.retryWindow = settings.retryWindow;
-    forwarding.adapterVersionBound = settings.adapterVersionBound;
+    ForwarderSettings forwarderSettings;
+    forwarderSettings.zone = settings.zone;
+    forwarderSettings.retryShare = settings.retryShare;
+    forwarderSettings.retryReserve = settings.retryReserve;
+    forwarderSettings.retryWindow = settings.retryWindow;
+    forwarderSettings.adapterVersionBound = settings.adapterVersionBound;
     ForwarderCallbacks callbacks;
     callbacks.onPendingAdapters = [this] {
         fleet->sendPendingAdapters();
@@ -142,11 +142,11 @@
     callbacks.nodeCount = [this] { return fleet->lease(EngineShard(0)).voterCount(clock.now()); };
     callbacks.isLeaving = [this] { return isLeaving; };
     callbacks.canAccept = [this](Duration longest) {
-        const Duration passed = clock.now() - drainStartedAt;
-        return !isLeaving || passed < TakeAllAfterDrain || longest < settings.grace - ReserveBeforeKill - passed;
+        const Duration elapsed = clock.now() - drainStartedAt;
+        return !isLeaving || elapsed < AcceptAllAfterDrain || longest < settings.grace - ReserveBeforeKill - elapsed;
     };
     callbacks.ordersIn = [this] { return fleet->ordersIn(); };
-    forwarder = std::make_unique<RequestForwarder>(loop, log, metrics, clusterState, std::move(forwarding), std::move(callbacks));
+    forwarder = std::make_unique<RequestForwarder>(loop, log, metrics, clusterState, std::move(forwarderSettings), std::move(callbacks));
 }
 
 Result<HttpServer *> EntryNode::Private::listen(const std::string &address, HttpHandler handler)
@@ -171,7 +171,7 @@
 
 Result<bool> EntryNode::Private::open()
 {
-    makeParts();
+    makeComponents();
     const auto callers = listen(settings.callerAddress, [this](HttpRequest request, std::shared_ptr<HttpExchange> exchange) {
         forwarder->onRequest(std::move(request), std::move(exchange));
     });
@@ -190,15 +190,15 @@
         return directory.error();
     }
     // A node that cannot show its metrics still serves its callers.
-    const auto shown = listen(parseEndpoint(settings.callerAddress).ip + ':' + std::to_string(MetricsPort),
+    const auto metricsServer = listen(parseEndpoint(settings.callerAddress).ip + ':' + std::to_string(MetricsPort),
         [this](const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) { answerMetrics(request, *exchange); });
-    if (!shown.isOk()) {
-        log.write(EventLog::Severity::Important, "node", "no_metrics", { { "reason", shown.error().detail } });
+    if (!metricsServer.isOk()) {
+        log.write(EventLog::Severity::Important, "node", "no_metrics", { { "reason", metricsServer.error().detail } });
     }
-    const auto served = listen(settings.peerAddress,
+    const auto peerServer = listen(settings.peerAddress,
         [this](const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) { peers->answer(request, *exchange); });
-    if (!served.isOk()) {
-        return served.error();
+    if (!peerServer.isOk()) {
+        return peerServer.error();
     }
     return fleet->start();
 }
@@ -234,12 +234,12 @@
         return;
     }
     const ZoneId zone = Platform::decodeDirectoryQuery(request).zone;
-    std::vector<std::string> near;
+    std::vector<std::string> sameZone;
     std::vector<std::string> all;
     const auto add = [&](const std::string &address, const ZoneId &nodeZone) {
         all.push_back(address);
         if (nodeZone == zone) {
-            near.push_back(address);
+            sameZone.push_back(address);
         }
     };
     if (isReady()) {
@@ -250,7 +250,7 @@
             add(peer->callerAddress, peer->zone);
         }
     }
-    std::vector<std::string> &chosen = near.size() >= LeastNearNodes ? near : all;
+    std::vector<std::string> &chosen = sameZone.size() >= MinSameZoneNodes ? sameZone : all;
     if (chosen.empty()) {
         exchange.respond(UnavailableStatus, { { "Retry-After", "0.3" } }, "");
         return;
@@ -285,28 +285,29 @@
     exchange.respond(OkStatus, { { "Content-Type", "text/plain; version=0.0.4" } }, metrics.text(gauges));
 }
 
-void EntryNode::Private::followStore()
+void EntryNode::Private::updateStoreReading()
 {
-    const auto near = fleet->near();
-    std::vector<StorePeer> neighbours;
-    neighbours.reserve(near.size());
-    for (const Peer *peer : near) {
-        neighbours.push_back(StorePeer { peer->id, peer->capacity, peer->isLeaving, peer->isReadingStore, peer->readRevision });
+    const auto scopePeers = fleet->scopePeers();
+    std::vector<StorePeer> storePeers;
+    storePeers.reserve(scopePeers.size());
+    for (const Peer *peer : scopePeers) {
+        storePeers.push_back(StorePeer { peer->id, peer->capacity, peer->isLeaving, peer->isReadingStore, peer->readRevision });
     }
     const bool isCurrent = store->hasReadAll() && store->timeSinceLastAnswer() == Duration(0);
-    const StoreReaderDecision turn = storeReaderElection.decide(fleet->isDivided(), isCurrent, store->revision(), neighbours, clock.now());
-    if (std::exchange(readsStore, turn.readsItself) != turn.readsItself) {
+    const StoreReaderDecision readerDecision =
+        storeReaderElection.decide(fleet->isDivided(), isCurrent, store->revision(), storePeers, clock.now());
+    if (std::exchange(isStoreReader, readerDecision.readsItself) != readerDecision.readsItself) {
         log.write(EventLog::Severity::Important, "store", "turn",
-            { { "reads", turn.readsItself }, { "neighbours", static_cast<std::int64_t>(neighbours.size()) } });
+            { { "reads", readerDecision.readsItself }, { "neighbours", static_cast<std::int64_t>(storePeers.size()) } });
     }
-    store->setFollowing(!turn.readsItself);
-    for (const Peer *peer : near) {
-        if (peer->id == turn.fetchFrom) {
+    store->setFollowing(!readerDecision.readsItself);
+    for (const Peer *peer : scopePeers) {
+        if (peer->id == readerDecision.fetchFrom) {
             storeReaderElection.onFetched(clock.now());
             peers->fetchNow(*peer, [this](bool hasSucceeded) {
                 if (!hasSucceeded) {
                     storeReaderElection.onFetchFailed(clock.now());
-                    followStore();
+                    updateStoreReading();
                 }
             });
             return;
@@ -316,7 +317,7 @@
 
 void EntryNode::Private::checkConnections()
 {
-    followStore();
+    updateStoreReading();
     for (const auto &server : servers) {
         server->checkConnections();
     }
@@ -326,10 +327,10 @@
 
 void EntryNode::Private::checkSignals()
 {
-    if (isReloadAsked.exchange(false)) {
+    if (isReloadRequested.exchange(false)) {
         log.write(EventLog::Severity::Important, "node", "reload", {});
     }
-    if (isDrainAsked && !isLeaving) {
+    if (isDrainRequested && !isLeaving) {
         beginDrain();
     }
     if (isLeaving) {
@@ -347,16 +348,16 @@
 
 void EntryNode::Private::checkDrained()
 {
-    const Duration passed = clock.now() - drainStartedAt;
+    const Duration elapsed = clock.now() - drainStartedAt;
     const Duration longest = settings.grace - ReserveBeforeKill;
-    if (!isListenerClosed && passed >= TakeAllAfterDrain) {
+    if (!isListenerClosed && elapsed >= AcceptAllAfterDrain) {
         isListenerClosed = true;
         callerServer->stopAccepting();
     }
     const bool isIdle = forwarder->activeCount() == 0 && callerServer->activeCount() == 0;
-    if ((isIdle && passed >= LingerAfterDrain) || passed >= longest) {
+    if ((isIdle && elapsed >= LingerAfterDrain) || elapsed >= longest) {
         log.write(EventLog::Severity::Important, "node", "stopped",
-            { { "active", std::int64_t(forwarder->activeCount()) }, { "drainedMs", passed.milliseconds() } });
+            { { "active", std::int64_t(forwarder->activeCount()) }, { "drainedMs", elapsed.milliseconds() } });
         loop.stop();
     }
 }
@@ -388,21 +389,21 @@
 
 void EntryNode::drain()
 {
-    d->isDrainAsked = true;
+    d->isDrainRequested = true;
 }
 
 void EntryNode::reload()
 {
-    d->isReloadAsked = true;
+    d->isReloadRequested = true;
 }
 
 namespace
 {
 
 std::atomic<EntryNode *> runningNode { nullptr };
-std::atomic<bool> isDrainAskedEarly { false };
+std::atomic<bool> isDrainRequestedEarly { false };
 
-void onSignal(int signal)
+void handleSignal(int signal)
 {
     EntryNode *node = runningNode;
     if (signal == SIGHUP) {
@@ -413,24 +414,24 @@
     } else if (node != nullptr) {
         node->drain();
     } else {
-        isDrainAskedEarly = true;
+        isDrainRequestedEarly = true;
     }
 }
 
 } // namespace
 
-void takeSignals()
+void installSignalHandlers()
 {
     std::signal(SIGPIPE, SIG_IGN); // NOLINT(cert-err33-c): a caller that left must not end the node
     for (const int signal : { SIGTERM, SIGINT, SIGHUP }) {
-        std::signal(signal, &onSignal); // NOLINT(cert-err33-c): cannot fail for these
+        std::signal(signal, &handleSignal); // NOLINT(cert-err33-c): cannot fail for these
     }
 }
 
 int runEntryNode()
 {
     constexpr int UsageExit = 2;
-    takeSignals();
+    installSignalHandlers();
     const auto settings = Platform::loadSettings();
     if (!settings.isOk()) {
         std::cerr << "settings: " << settings.error().detail << "\n";
@@ -444,7 +445,7 @@
         return UsageExit;
     }
     runningNode = node.value().get();
-    if (isDrainAskedEarly) {
+    if (isDrainRequestedEarly) {
         node.value()->drain();
     }
     node.value()->run();
--- a/main/entry/entrynode.h
+++ b/main/entry/entrynode.h
@@ -33,7 +33,7 @@
  * Takes SIGTERM, SIGINT and SIGHUP from now on. Called before anything else: a process that opens its ports first is ended by a change of
  * its settings that is announced in its first milliseconds. A wish to drain is kept for the node that starts.
  */
-void takeSignals();
+void installSignalHandlers();
 
 /** Runs an entry node until it has drained; returns the process's exit code. */
 int runEntryNode();
--- a/tests/main/testentrynode.cpp
+++ b/tests/main/testentrynode.cpp
@@ -322,7 +322,7 @@
 // moment on, the announcement ends the process: callers that were just told of it find nobody, and it starts once more. Soak seed 241.
 Test(entrynode, aChangeOfSettingsDoesNotEndAStartingNode)
 {
-    takeSignals();
+    installSignalHandlers();
     cr_assert_eq(raise(SIGHUP), 0);
     cr_assert_eq(raise(SIGTERM), 0);
 }
