--- a/tests/main/testentrynode.cpp
+++ b/tests/main/testentrynode.cpp
@@ -51,7 +51,7 @@
 }
 
 /** An upstream that serves every request. */
-ScriptedAnswer answerWhole(const std::string &)
+ScriptedAnswer answerCompletely(const std::string &)
 {
     return ScriptedAnswer {
         "HTTP/1.1 200 OK\r\nApricotstep-Request-Id: {id}\r\nApricotstep-Server-Seal: s\r\nContent-Length: 5\r\n\r\nwhole"
@@ -72,10 +72,10 @@
 }
 
 /** A store that can fall silent: what is asked meanwhile is never answered, as behind a cut link. */
-class SilentStore
+class UnresponsiveStore
 {
 public:
-    explicit SilentStore(std::string upstreamAddress)
+    explicit UnresponsiveStore(std::string upstreamAddress)
         : m_upstreamAddress(std::move(upstreamAddress))
         , m_server([this](const std::string &request) { return answer(request); })
     {
@@ -84,11 +84,11 @@
     {
         return m_server.address();
     }
-    void fallSilent()
+    void stopAnswering()
     {
-        m_isSilent = true;
+        m_isUnresponsive = true;
     }
-    /** Waits until somebody has asked @p count times in vain since fallSilent(). */
+    /** Waits until somebody has asked @p count times in vain since stopAnswering(). */
     void waitForUnanswered(int count) const
     {
         while (m_unanswered < count) {
@@ -96,43 +96,43 @@
         }
     }
     /** Confirms a configuration whose one route is @p pathPrefix, and answers from now on. */
-    void returnWith(const std::string &pathPrefix)
+    void resumeWithRoute(const std::string &pathPrefix)
     {
-        returnWithChange(item("op/config", configuration(7, pathPrefix), 3));
+        resumeWithChange(item("op/config", configuration(7, pathPrefix), 3));
     }
     /** Answers one call: the upstream's entry has lapsed meanwhile. */
-    void returnOnceWithoutTheUpstream()
+    void answerOnceWithoutUpstream()
     {
-        m_fallsSilentAgain = true;
-        returnWithChange(R"({"key":"servers/u1","revision":3,"tombstone":true})");
+        m_answersOnce = true;
+        resumeWithChange(R"({"key":"servers/u1","revision":3,"tombstone":true})");
     }
 
 private:
-    void returnWithChange(const std::string &change)
+    void resumeWithChange(const std::string &change)
     {
         {
             const absl::MutexLock lock(&m_mutex);
             m_change = change;
         }
-        m_isSilent = false;
+        m_isUnresponsive = false;
     }
     ScriptedAnswer answer(const std::string &request)
     {
-        if (m_isSilent) {
+        if (m_isUnresponsive) {
             ++m_unanswered;
             return ScriptedAnswer { "", ScriptedAnswer::ConnectionAction::Keep, true };
         }
         const absl::MutexLock lock(&m_mutex);
         if (!m_change.empty() && absl::StrContains(request, "after=2&")) {
-            m_isSilent = m_fallsSilentAgain.load();
+            m_isUnresponsive = m_answersOnce.load();
             return ScriptedAnswer { json(absl::StrCat(R"({"events":[)", m_change, R"(],"storeRevision":3})")) };
         }
         return storeAnswer(request, m_upstreamAddress);
     }
 
     std::string m_upstreamAddress;
-    std::atomic<bool> m_isSilent { false };
-    std::atomic<bool> m_fallsSilentAgain { false };
+    std::atomic<bool> m_isUnresponsive { false };
+    std::atomic<bool> m_answersOnce { false };
     std::atomic<int> m_unanswered { 0 };
     absl::Mutex m_mutex;
     std::string m_change ABSL_GUARDED_BY(m_mutex);
@@ -191,42 +191,42 @@
     return settings;
 }
 
-struct Got
+struct Response
 {
     int status = 0;
     std::string body;
 };
 
-Got get(HttpClient &client, const std::string &address, const std::string &path, HttpHeaders headers = {})
+Response get(HttpClient &client, const std::string &address, const std::string &path, HttpHeaders headers = {})
 {
-    auto got = std::make_shared<Got>();
+    auto response = std::make_shared<Response>();
     auto done = std::make_shared<absl::Notification>();
     HttpCall call;
     call.url = "http://" + address + path;
     call.headers = std::move(headers);
     call.totalTimeout = Duration(2000);
-    call.onData = [got](std::string_view data) {
-        got->body.append(data);
+    call.onData = [response](std::string_view data) {
+        response->body.append(data);
         return true;
     };
-    call.onDone = [got, done](const CallResult &result) {
-        got->status = result.status;
+    call.onDone = [response, done](const CallResult &result) {
+        response->status = result.status;
         done->Notify();
     };
     client.start(std::move(call));
     done->WaitForNotification();
-    return *got;
+    return *response;
 }
 
 /** A node on a thread of its own; drained at the end. */
-struct Running
+struct RunningNode
 {
-    explicit Running(const Platform::ProcessSettings &settings)
+    explicit RunningNode(const Platform::ProcessSettings &settings)
         : node(std::move(EntryNode::start(settings).value()))
         , thread([this] { node->run(); })
     {
     }
-    ~Running()
+    ~RunningNode()
     {
         node->drain();
         thread.join();
@@ -251,19 +251,19 @@
 
 // The whole path: a node reads the store, in which a forged entry stands as well, says that it is ready, names itself to callers and takes
 // a request to the one upstream and its answer back.
-Test(entrynode, aRequestGoesThroughToItsUpstream)
+Test(entrynode, forwardsRequestToUpstream)
 {
-    const ScriptedUpstream upstream(&answerWhole);
+    const ScriptedUpstream upstream(&answerCompletely);
     const ScriptedUpstream store([&](const std::string &request) { return storeAnswer(request, upstream.address()); });
     const auto settings = settingsFor(store.address());
     HttpClient client;
-    const Running running(settings);
+    const RunningNode running(settings);
     cr_assert(becomesReady(client, settings));
-    const Got directory = get(client, settings.directoryAddress, "/apricotstep/resolve?name=h.example&zone=z");
+    const Response directory = get(client, settings.directoryAddress, "/apricotstep/resolve?name=h.example&zone=z");
     cr_assert_eq(directory.status, 200);
     cr_assert(absl::StrContains(directory.body, settings.callerAddress), "%s", directory.body.c_str());
     const HttpHeaders headers { { "Host", "h.example" }, { "Apricotstep-Request-Id", "r-1" } };
-    const Got answer = get(client, settings.callerAddress, "/p/x?y=1", headers);
+    const Response answer = get(client, settings.callerAddress, "/p/x?y=1", headers);
     cr_assert_eq(answer.status, 200);
     cr_assert(answer.body == "whole");
     cr_assert(absl::StartsWith(upstream.requests().front(), "GET /p/x?y=1 HTTP/1.1\r\n"));
@@ -271,12 +271,12 @@
 }
 
 // The store is down when a node starts, and no other node knows anything. It refuses for now, with 503, is not ready, and names nobody.
-Test(entrynode, withoutTheStoreNothingIsPromised)
+Test(entrynode, isNotReadyWithoutStore)
 {
     const ScriptedUpstream store([](const std::string &) { return ScriptedAnswer { "", ScriptedAnswer::ConnectionAction::Reset }; });
     const auto settings = settingsFor(store.address());
     HttpClient client;
-    const Running running(settings);
+    const RunningNode running(settings);
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
     cr_assert_eq(get(client, settings.readinessAddress, "/apricotstep/ready").status, 503);
     cr_assert_eq(get(client, settings.directoryAddress, "/apricotstep/resolve?name=h.example&zone=z").status, 503);
@@ -284,32 +284,32 @@
 }
 
 // A second node starts while the store is down for it alone. It learns the configuration and the upstreams from the first, and serves.
-Test(entrynode, aNodeWithoutTheStoreLearnsFromItsNeighbour)
+Test(entrynode, readsStoreThroughPeer)
 {
-    const ScriptedUpstream upstream(&answerWhole);
+    const ScriptedUpstream upstream(&answerCompletely);
     const ScriptedUpstream store([&](const std::string &request) { return storeAnswer(request, upstream.address()); });
-    const ScriptedUpstream down([](const std::string &) { return ScriptedAnswer { "", ScriptedAnswer::ConnectionAction::Reset }; });
+    const ScriptedUpstream failingStore([](const std::string &) { return ScriptedAnswer { "", ScriptedAnswer::ConnectionAction::Reset }; });
     const auto first = settingsFor(store.address());
-    auto second = settingsFor(down.address());
+    auto second = settingsFor(failingStore.address());
     second.node = NodeId("n2");
     second.seeds = { first.peerAddress };
     HttpClient client;
-    const Running runningFirst(first);
+    const RunningNode runningFirst(first);
     cr_assert(becomesReady(client, first));
-    const Running runningSecond(second);
+    const RunningNode runningSecond(second);
     cr_assert(becomesReady(client, second));
     const HttpHeaders headers { { "Host", "h.example" }, { "Apricotstep-Request-Id", "r-2" } };
     cr_assert_eq(get(client, second.callerAddress, "/p/x", headers).status, 200);
 }
 
 // A node gets SIGTERM. It says at once that it takes nothing more, still answers who came late, and ends when all answers are out.
-Test(entrynode, aLeavingNodeIsNotReadyButStillAnswers)
+Test(entrynode, drainingNodeStillAnswers)
 {
-    const ScriptedUpstream upstream(&answerWhole);
+    const ScriptedUpstream upstream(&answerCompletely);
     const ScriptedUpstream store([&](const std::string &request) { return storeAnswer(request, upstream.address()); });
     const auto settings = settingsFor(store.address());
     HttpClient client;
-    const Running running(settings);
+    const RunningNode running(settings);
     cr_assert(becomesReady(client, settings));
     running.node->drain();
     std::this_thread::sleep_for(std::chrono::milliseconds(400));
@@ -320,7 +320,7 @@
 
 // The settings change while a node is only starting, and the platform announces it to all processes. Without a handler from the first
 // moment on, the announcement ends the process: callers that were just told of it find nobody, and it starts once more. Soak seed 241.
-Test(entrynode, aChangeOfSettingsDoesNotEndAStartingNode)
+Test(entrynode, signalsDoNotEndStartingNode)
 {
     installSignalHandlers();
     cr_assert_eq(raise(SIGHUP), 0);
@@ -328,43 +328,43 @@
 }
 
 // Guards against a configuration that comes late because a call to the store, begun just before its return, is never answered.
-Test(entrynode, aConfigurationIsInForceInTimeAfterTheStoreWasSilent)
+Test(entrynode, appliesConfigurationInTimeAfterStoreOutage)
 {
-    const ScriptedUpstream upstream(&answerWhole);
-    SilentStore store(upstream.address());
+    const ScriptedUpstream upstream(&answerCompletely);
+    UnresponsiveStore store(upstream.address());
     const auto settings = settingsFor(store.address());
     HttpClient client;
-    const Running running(settings);
+    const RunningNode running(settings);
     cr_assert(becomesReady(client, settings));
     const HttpHeaders headers { { "Host", "h.example" }, { "Apricotstep-Request-Id", "r-4" } };
     cr_assert_eq(get(client, settings.callerAddress, "/added/x", headers).status, 404);
-    store.fallSilent();
+    store.stopAnswering();
     store.waitForUnanswered(1);
-    store.returnWith("/added/");
+    store.resumeWithRoute("/added/");
     std::this_thread::sleep_for(std::chrono::milliseconds(settings.configurationBound.milliseconds()));
     cr_assert_eq(get(client, settings.callerAddress, "/added/x", headers).status, 200);
 }
 
 // Guards against dropping a living upstream whose entry lapsed while the store was silent, at a node that has heard nothing since.
-Test(entrynode, aLapsedUpstreamIsKeptUntilTheStoreWasReadAgain)
+Test(entrynode, keepsExpiredUpstreamUntilStoreIsReadAgain)
 {
-    const ScriptedUpstream upstream(&answerWhole);
-    SilentStore store(upstream.address());
+    const ScriptedUpstream upstream(&answerCompletely);
+    UnresponsiveStore store(upstream.address());
     const auto settings = settingsFor(store.address());
     HttpClient client;
-    const Running running(settings);
+    const RunningNode running(settings);
     cr_assert(becomesReady(client, settings));
-    store.fallSilent();
+    store.stopAnswering();
     // Long enough for the node to take the store for lost.
     std::this_thread::sleep_for(std::chrono::milliseconds(5000));
-    store.returnOnceWithoutTheUpstream();
+    store.answerOnceWithoutUpstream();
     std::this_thread::sleep_for(std::chrono::milliseconds(5000));
     const HttpHeaders headers { { "Host", "h.example" }, { "Apricotstep-Request-Id", "r-5" } };
     cr_assert_eq(get(client, settings.callerAddress, "/p/x", headers).status, 200);
 }
 
 // Guards against losing an upstream that a neighbour tells of while the node reads the store page by page.
-Test(storereader, whatANeighbourTellsBetweenTwoPagesStays)
+Test(storereader, keepsPeerChangesReceivedBetweenPages)
 {
     const SystemClock clock;
     const ScriptedUpstream store(&answerInTwoPages);
@@ -372,10 +372,10 @@
     ClusterState clusterState;
     IoLoop loop(clock);
     StoreReader reader(loop, log, clusterState, store.address(), Duration::seconds(2), [](const ClusterStateChanges &) {});
-    const Platform::StoreItem told { "servers/told", upstreamEntry("10.0.0.2:1"), 40, false };
+    const Platform::StoreItem peerItem { "servers/told", upstreamEntry("10.0.0.2:1"), 40, false };
     loop.after(Duration(SecondPageTime.milliseconds() / 2), [&] {
         cr_assert_not(reader.hasReadAll());
-        cr_assert(reader.mergeFromPeer(NodeId("n2"), PeerChanges { Platform::encodeWatch({ told }, 40), {}, {} }));
+        cr_assert(reader.mergeFromPeer(NodeId("n2"), PeerChanges { Platform::encodeWatch({ peerItem }, 40), {}, {} }));
     });
     loop.after(SecondPageTime + Duration(500), [&] { loop.stop(); });
     reader.start();
--- a/tests/main/teststorereplica.cpp
+++ b/tests/main/teststorereplica.cpp
@@ -24,7 +24,7 @@
 
 // A node gets the same facts from the store and from its neighbours, crossed on the way. An upstream that has left would come back by an
 // older account of it, and get requests that nobody answers.
-Test(storereplica, anOlderFactNeverReplacesALaterOne)
+Test(storereplica, olderRevisionNeverReplacesNewer)
 {
     StoreReplica replica;
     cr_assert(replica.put(item("servers/a", 5), Start));
@@ -36,7 +36,7 @@
 }
 
 // A node that follows another must hear of deletions as well, or it sends to upstreams that are gone.
-Test(storereplica, aFollowerHearsOfWritesAndDeletions)
+Test(storereplica, sinceListsWritesAndDeletions)
 {
     StoreReplica replica;
     replica.put(item("servers/a", 2), Start);
@@ -51,7 +51,7 @@
 
 // The store forgot its history, so this node read it whole: what vanished in between was never told as a deletion. Followers that are told
 // only of what is there would keep it for good.
-Test(storereplica, whatAWholeReadingLacksCountsAsDeleted)
+Test(storereplica, keysMissingFromFullReadAreDeleted)
 {
     StoreReplica replica;
     replica.put(item("servers/a", 2), Start);
@@ -65,7 +65,7 @@
 
 // A follower was cut off for minutes, and deletions of that time have been forgotten here. Told only the rest, it would keep what is gone;
 // it must be told to read the store itself.
-Test(storereplica, forgottenDeletionsAreAdmitted)
+Test(storereplica, isIncompleteAfterTombstonesExpire)
 {
     StoreReplica replica;
     replica.put(deletion("servers/a", 4), Start);
