--- a/main/entry/clusterstate.h
+++ b/main/entry/clusterstate.h
@@ -16,14 +16,14 @@
 namespace ApricotStep
 {
 
-/** The newest version of an adapter, and since when this node knows. */
+/** The newest known version of an adapter, and when this node learned of it. */
 struct KnownVersion
 {
     AdapterVersion version;
     Time learnedAt;
 };
 
-/** Everything that an entry node believes of the world. Used by its loop's thread only. */
+/** What an entry node knows of the cluster. Not thread-safe: only the thread of the node's IoLoop uses it. */
 struct ClusterState
 {
     /** Null until a configuration is known. */
@@ -33,11 +33,11 @@
     AdapterLoadEstimator loadEstimator;
     std::map<AdapterRef, KnownVersion> versions;
     UpstreamLoadTracker loadTracker;
-    /** Which engines this node uses; empty: all. */
+    /** The availability zone whose engines this node uses; empty when it uses all. */
     ZoneId engineScope;
     OutlierDetector outliers { OutlierLimits {} };
 
-    /** Whether @p residency was news. */
+    /** Updates what is known of the adapters at an engine. Returns whether @p residency was newer than the stored one. */
     bool updateResidency(const EngineResidency &residency, Time now)
     {
         const bool isNewer = residencies.put(residency);
@@ -56,7 +56,7 @@
         const RoutedService *spec = routes != nullptr ? routes->service(service) : nullptr;
         return spec != nullptr && spec->engine ? &*spec->engine : nullptr;
     }
-    /** Engines of @p service that this node uses; those of all zones while its scope has none. */
+    /** The usable engines of @p service in this node's scope; those of all zones if there are none in its scope. */
     std::vector<const UpstreamRecord *> engines(const ServiceName &service) const
     {
         std::vector<const UpstreamRecord *> result = upstreams.usable(service);
--- a/main/entry/fleetlink.cpp
+++ b/main/entry/fleetlink.cpp
@@ -14,22 +14,23 @@
 namespace
 {
 
-// All rows are told again this often, for nodes that started or lost a datagram.
+// A lease holder sends the residencies of all its engines again this often, for nodes that have just started or lost a datagram.
 constexpr Duration ResidencyInterval { 2000 };
-// Contacts in one message: with five messages a second, all nodes of a small fleet are named to a new one within a second; later a few
-// keep the picture whole, and save a fifth of the bytes.
+// Addresses of other nodes in one heartbeat. With five heartbeats a second, the larger number names all nodes of a small fleet to a new
+// node within a second. Later the smaller one keeps all lists complete and saves a fifth of the bytes.
 constexpr std::size_t ContactsAtStart = 6;
 constexpr std::size_t ContactsLater = 1;
-// Addresses of some 20 bytes: a greeting stays below the size that no link cuts.
+// Addresses take some 20 bytes each: the message to a new peer stays below the size that every link carries without fragmentation.
 constexpr std::size_t ContactsForNewPeer = 24;
 constexpr Duration StartupTime = Duration::seconds(5);
-// A node that starts shows itself to all within this. Were it heard of only now and then, its voice would be missing.
+// A node that has just started sends to the nodes outside its scope this often. At the usual interval its vote would be missing at first.
 constexpr Duration OutOfScopeIntervalAtStart { 600 };
-// Wants of requests that arrive together go out together.
+// Pending adapters of requests that arrive together are sent in one message.
 constexpr Duration PendingAdaptersDelay { 3 };
-// A peer silent for so long is forgotten.
+// A peer that has sent nothing for this long is removed.
 constexpr Duration PeerTimeout = Duration::seconds(60);
-// Rows in one datagram, by their copies of about a dozen bytes each: they stay below the size that no link cuts.
+// Limits the residencies in one datagram by their copies, of about a dozen bytes each, to the size that every link carries without
+// fragmentation.
 constexpr std::size_t MaxCopiesInDatagram = 60;
 constexpr EventLog::Severity Important = EventLog::Severity::Important;
 
@@ -48,10 +49,10 @@
     std::vector<OrderLease> leases;
     std::unique_ptr<UdpSocket> socket;
     std::map<NodeId, Peer> peers;
-    /** Addresses where a node is said to be that has not been heard of yet, and until when it is tried. */
+    /** Addresses that peers named of nodes that have not sent anything yet, and until when this node sends to them. */
     std::map<std::string, Time> contacts;
     std::mt19937_64 random { std::random_device {}() };
-    /** The rows that this node announced, for repeating. */
+    /** The residencies that this node announced, to be sent again. */
     std::map<UpstreamId, EngineResidency> ownResidencies;
     const Time startedAt;
     Time lastClockReading;
@@ -60,7 +61,7 @@
     bool isPendingSendScheduled = false;
     std::vector<EngineShard> releasedShards;
     std::vector<NodeId> lastHolders;
-    /** When the nodes that share no engines with this one were told last. */
+    /** When a message was last sent to the nodes that share no engines with this one. */
     Time outOfScopeSentAt;
 
     Private(IoLoop &loop, EventLog &log, ClusterState &clusterState, FleetIdentity identity, OrderLeaseLimits limits, Callbacks callbacks)
@@ -84,7 +85,7 @@
     {
         return now() - peer.lastReceivedAt <= peer.heartbeatTimeout;
     }
-    /** Shards of the engines that this node uses. */
+    /** Whether this node uses the engines of @p shard. */
     bool isInScope(EngineShard shard) const
     {
         return shards.zoneOf(shard).isEmpty() || scope.covers(shards.zoneOf(shard));
@@ -99,12 +100,13 @@
         return std::any_of(leases.begin(), leases.end(), [this](const OrderLease &lease) { return lease.isHolder(now()); });
     }
 
-    /** As of the message or the timer at hand. */
+    /** The time of the event that is being handled: the last reading of the clock or the loop's time, whichever is later. */
     Time now() const
     {
         return std::max(lastClockReading, loop.now());
     }
-    // A promise that was dated before a sleep would end sooner than its holder believes, so each datagram and timer reads the clock.
+    // Called for each datagram and timer. After the process was suspended, a lease grant dated with the loop's older time would end sooner
+    // than its holder assumes.
     void readClock()
     {
         lastClockReading = loop.clock().now();
@@ -139,7 +141,7 @@
     message.zone = identity.zone;
     message.scope = scope.zone();
     message.capacity = identity.capacity;
-    // Where it goes to all: a receiver that hears of this node seldom must not take it for dead in between.
+    // For a message to all nodes: a receiver that rarely gets messages of this node must not take it for dead in between.
     message.interval = scope.zone().isEmpty() ? scopeLimits.inScopeInterval : scopeLimits.outOfScopeInterval;
     message.callerAddress = identity.callerAddress;
     message.peerAddress = identity.peerAddress;
@@ -170,7 +172,7 @@
     return message;
 }
 
-// Where a node may be that has not spoken yet.
+// Seeds and contacts from which no message has come yet.
 std::set<std::string> FleetLink::Private::unconfirmedAddresses() const
 {
     std::set<std::string> result(identity.seeds.begin(), identity.seeds.end());
@@ -195,8 +197,8 @@
     }
 }
 
-// Only those who order adapters need to know which of them are in use, and only those who use the same engines what runs there. The others
-// count this node's voice; they hear it when it claims, and else now and then.
+// Only lease holders need to know the adapters in use, and only the nodes that use the same engines need to know the load there. All others
+// just count this node's vote: they get its urgent messages, and otherwise a message at a longer interval.
 void FleetLink::Private::sendLoad(const FleetMessage &message)
 {
     FleetMessage inScopeMessage = message;
@@ -230,7 +232,7 @@
     }
 }
 
-// What nodes must hear at once, wherever they are: who claims, who gives up.
+// Claims and releases of leases and the leaving of a node are sent to all nodes at once, whatever their scope.
 bool FleetLink::Private::isUrgent(const FleetMessage &message) const
 {
     return !message.claims.empty() || !message.releases.empty() || message.isLeaving;
@@ -253,7 +255,7 @@
     isPendingSendScheduled = false;
     FleetMessage message = baseMessage();
     message.uses = callbacks.pendingAdapters();
-    message.interval = scopeLimits.inScopeInterval; // Holders are told of loads as often, wherever they are.
+    message.interval = scopeLimits.inScopeInterval; // Holders get load messages at this interval, whatever their scope.
     if (message.uses.empty()) {
         return;
     }
@@ -279,7 +281,8 @@
     return known;
 }
 
-// A node that knows only the seeds would count a fleet of four, and so would each of the others: several majorities at once.
+// Contacts count towards the majority from now on. If nodes knew only the seeds, each would take the fleet for one of four nodes, and there
+// could be several majorities at once.
 void FleetLink::Private::addContacts(const FleetMessage &message)
 {
     contacts.erase(message.peerAddress);
@@ -318,7 +321,7 @@
     logHolderChanges();
 }
 
-// Rows of engines of one zone go to the nodes that use them.
+// Sends the residencies of each zone's engines to the nodes that use these engines.
 void FleetLink::Private::sendResidencies(const std::vector<EngineResidency> &residencies)
 {
     std::map<ZoneId, std::vector<EngineResidency>> byZone;
@@ -407,8 +410,8 @@
     }
 }
 
-// A node that nobody knew has just started, or comes back from behind a cut: it learns the others at once, and not from what one of them
-// happens to say in the next seconds.
+// A peer that was unknown has just started or returns from a network partition. It gets many contacts at once, instead of collecting them
+// from heartbeats over the next seconds.
 void FleetLink::Private::sendContacts(const FleetMessage &from)
 {
     FleetMessage answer = baseMessage();
--- a/main/entry/fleetlink.h
+++ b/main/entry/fleetlink.h
@@ -16,7 +16,7 @@
 namespace ApricotStep
 {
 
-/** How a node appears to the others. */
+/** Identity, resources and addresses of this node in the fleet. */
 struct FleetIdentity
 {
     NodeId id;
@@ -24,19 +24,19 @@
     ZoneId zone;
     /** All availability zones of the fleet. */
     std::vector<ZoneId> zones;
-    /** Share of a core that this node has. */
+    /** Share of a CPU core that this node has. */
     double capacity = 0;
     std::string callerAddress;
     std::string peerAddress;
     std::vector<std::string> seeds;
 };
 
-/** Another node, as last heard of. */
+/** Another node, as of its last message. */
 struct Peer
 {
     NodeId id;
     ZoneId zone;
-    /** Whose engines it uses; empty: all. */
+    /** The availability zone whose engines it uses; empty when it uses all. */
     ZoneId scope;
     std::string callerAddress;
     std::string peerAddress;
@@ -47,47 +47,47 @@
     double capacity = 0;
     std::uint64_t readRevision = 0;
     bool isReadingStore = false;
-    /** It counts as alive while it was heard of within this. */
+    /** It counts as alive for this long after its last message. */
     Duration heartbeatTimeout;
 };
 
-/** What this node says of its reading of the store. */
+/** How far this node has read the store, and whether it reads it itself. */
 struct StoreReadState
 {
     std::uint64_t revision = 0;
     bool isReading = false;
 };
 
-/** What this node says of its load. */
+/** What this node has running at the upstreams, and the adapters in use. */
 struct NodeLoadReport
 {
     std::vector<UpstreamLoad> loads;
     std::vector<AdapterUse> uses;
 };
 
-/** Exchanges datagrams with the other nodes: who lives, what runs where, who gives orders. */
+/** Exchanges datagrams with the other nodes: heartbeats, load, the adapters at each engine, and the leases to give orders to engines. */
 class FleetLink
 {
 public:
     struct Callbacks
     {
-        /** Asked before each message that speaks of load; what was counted since is counted anew. */
+        /** Called before each message that reports load. Each arrival is counted only once. */
         std::function<NodeLoadReport()> loadReport;
-        /** Adapters that requests of this node wait for. */
+        /** The pending adapters: those that requests of this node wait for. */
         std::function<std::vector<AdapterUse>()> pendingAdapters;
-        /** Whether this node takes requests. */
+        /** Whether this node accepts requests. */
         std::function<bool()> isReady;
-        /** A peer said what it runs and waits for. */
+        /** A peer reported the adapters that its requests run on and wait for. */
         std::function<void(const NodeId &, const std::vector<AdapterUse> &)> onUses;
-        /** A peer said only what it waits for. */
+        /** A peer reported only its pending adapters. */
         std::function<void(const NodeId &, const std::vector<AdapterUse> &)> onPendingAdapters;
-        /** How far this node has read the store, and whether it reads it itself. */
+        /** Called for each message. */
         std::function<StoreReadState()> storeReadState;
-        /** A peer has read further than it had. */
+        /** A peer has read the store up to a later revision than it had before. */
         std::function<void()> onPeerReadFurther;
-        /** Rows of engines that were news. */
+        /** Engine residencies were updated. */
         std::function<void()> onResidencyChanged;
-        /** A peer has a later configuration than this node. */
+        /** A peer has a newer configuration than this node. */
         std::function<void(const Peer &)> onNewerConfiguration;
     };
 
@@ -95,25 +95,25 @@
         IoLoop &loop, EventLog &log, ClusterState &clusterState, FleetIdentity identity, OrderLeaseLimits limits, Callbacks callbacks);
     ~FleetLink();
 
-    /** Opens the socket and begins. Errors: SettingsInvalid. */
+    /** Opens the socket and starts to send heartbeats. Errors: SettingsInvalid. */
     Result<bool> start();
-    /** Tells all that this node leaves; it gives no orders from now on. */
+    /** Announces to all nodes that this one leaves, and releases its leases: it gives no orders from now on. */
     void leave();
-    /** Tells the nodes that give orders at once what this one waits for. */
+    /** Sends this node's pending adapters to the lease holders without waiting for the next heartbeat. */
     void sendPendingAdapters();
-    /** Tells all nodes that use these engines. */
+    /** Stores the residencies of engines that this node gives orders to, and sends them to all nodes that use these engines. */
     void announce(const std::vector<EngineResidency> &residencies);
 
     const ShardMap &shards() const;
     /** The lease of one of shards(). */
     const OrderLease &lease(EngineShard shard) const;
-    /** Whether what stands at the engines of both shards is told to the same nodes, and weighed together. */
+    /** Whether the adapters at the engines of both shards are announced to the same nodes and planned together. */
     bool arePlannedTogether(EngineShard one, EngineShard other) const;
-    /** How long until any node gives orders to engines; unset while this node does not hear most of the others. */
+    /** Time until a lease holder gives orders to any engines in scope; unset if this node gets no messages from a majority of nodes. */
     std::optional<Duration> ordersIn() const;
-    /** Whether the fleet is so large that nodes tell each other only of the engines that they share. */
+    /** Whether the fleet is so large that nodes report load and adapters only to those that use the same engines. */
     bool isDivided() const;
-    /** Those of the alive peers that use the same engines as this node. */
+    /** The alive peers that use the same engines as this node. */
     std::vector<const Peer *> scopePeers() const;
     /** Peers that are alive now. */
     std::vector<const Peer *> alive() const;
