--- a/main/entry/orderrunner.cpp
+++ b/main/entry/orderrunner.cpp
@@ -11,19 +11,19 @@
 namespace
 {
 
-// Without the lease there is nothing to do but to see whether it has come.
+// A node without the lease checks this often whether it holds it.
 constexpr Duration LeaseCheckInterval { 200 };
 constexpr Duration ConnectTimeout { 300 };
-// An order or report that has no answer by then has none to come; the plan asks again.
+// An order or report query without an answer after this time will get none; the plan sends another one.
 constexpr Duration CallTimeout { 1000 };
 constexpr Duration MaxConnectionIdle = Duration::seconds(10);
 constexpr Duration AcknowledgeTimeout { 700 };
-// Wants, answers and rows that come within this are decided upon together. Each round weighs all wants against all engines; a round for
-// each datagram takes a holder half of its processor time, and its callers' answers wait meanwhile.
+// Pending adapters, answers and residencies that arrive within this time are handled by one decision. Each decision compares all pending
+// adapters with all engines: one for each datagram would take half of a holder's CPU time and delay the answers to its callers.
 constexpr Duration DecisionInterval { 8 };
-// Who gives orders is asked again this often; the answer counts all nodes' votes, and a lease lasts much longer.
+// How often to check which shards have an active holder. The check counts the votes of all nodes, and a lease lasts much longer than this.
 constexpr Duration HolderCheckInterval { 50 };
-// What is believed of the weight store is logged this often by those who order, so that a wait for an adapter can be explained afterwards.
+// Lease holders log their estimates for the weight store this often, so that a wait for an adapter can be explained afterwards.
 constexpr Duration StoreLogInterval = Duration::seconds(5);
 constexpr int OkStatus = 200;
 
@@ -66,7 +66,7 @@
     Time decidedAt;
     Time storeLoggedAt;
     TimerId timer = 0;
-    /** Which shards have somebody who gives orders, as of @a holdersCheckedAt. */
+    /** By shard: whether a node gives orders to its engines, as of @a holdersCheckedAt. */
     std::vector<bool> hasActiveHolder;
     Time holdersCheckedAt;
 
@@ -114,7 +114,7 @@
     });
 }
 
-// Whether this node may order now; a plan belongs to one lease.
+// Each plan belongs to one lease: it starts when this node may give orders and ends when the lease is lost. Returns whether it may now.
 bool OrderRunner::Private::updateLease()
 {
     const auto token = fleet.lease(shard).mayOrder(now());
@@ -271,7 +271,8 @@
     call.method = "POST";
     call.headers = Platform::orderHeaders(order);
     call.body = Platform::orderBody(order, Platform::OrderAuthority { self, callFence });
-    // A node that slept or was cut off between the decision and this moment may hold the lease no more; the loop's own time is from before.
+    // The lease may have been lost since the decision, if this node was suspended or cut off. The loop's time may be older than that, so
+    // this reads the clock.
     call.maySend = [weak = weak_from_this(), callFence] {
         const auto self = weak.lock();
         return self != nullptr && self->fleet.lease(self->shard).mayOrder(self->loop.clock().now()) == callFence;
@@ -317,7 +318,7 @@
             return;
         }
         if (result.state != AttemptState::Answered || result.status != OkStatus) {
-            return; // The next one is asked for in a second; requests show an engine's failure sooner.
+            return; // The next report is requested in a second; requests show an engine's failure sooner.
         }
         const auto report = Platform::decodeReport(*body);
         if (!report.isOk()) {
--- a/main/entry/orderrunner.h
+++ b/main/entry/orderrunner.h
@@ -14,21 +14,21 @@
 namespace ApricotStep
 {
 
-/** Carries out the plans for adapters of those shards of engines that this node may give orders to. */
+/** Executes the adapter plan of each engine shard whose lease this node holds. */
 class OrderRunner
 {
 public:
-    /** @p ownUses: what this node runs and waits for. */
+    /** @p ownUses: the adapters that this node's requests run on and wait for. */
     OrderRunner(IoLoop &loop, EventLog &log, EntryMetrics &metrics, ClusterState &clusterState, FleetLink &fleet, const NodeId &self,
         const std::function<std::vector<AdapterUse>()> &ownUses);
     ~OrderRunner();
 
     void start();
-    /** A peer said what it runs and waits for. */
+    /** A peer reported the adapters that its requests run on and wait for. */
     void onUses(const NodeId &node, const std::vector<AdapterUse> &uses);
-    /** A peer said only what it waits for. */
+    /** A peer reported only its pending adapters. */
     void onPendingAdapters(const NodeId &node, const std::vector<AdapterUse> &pendingAdapters);
-    /** Something changed that the plan depends on. */
+    /** Schedules a decision after a change that the plans depend on. */
     void decideSoon();
 
 private:
