--- a/main/entry/storepoller.cpp
+++ b/main/entry/storepoller.cpp
@@ -22,9 +22,9 @@
     StoreCallScheduler calls;
     Callbacks callbacks;
     StoreQuery query;
-    /** Counts questions: what belongs to an earlier one is left aside. */
+    /** The number of the current query; what calls of earlier queries bring is ignored. */
     std::uint64_t currentQuery = 0;
-    /** By the number of the call. */
+    /** Calls in flight, by their number. */
     std::map<std::uint64_t, CallId> openCalls;
     std::uint64_t startedCalls = 0;
     TimerId timer = 0;
@@ -109,7 +109,7 @@
         return;
     }
     const std::uint64_t queryNumber = currentQuery;
-    // The next question may be put from within, and replaces this one.
+    // A copy, since onAnswer() may send the next query, which replaces this one.
     const auto onAnswer = query.onAnswer;
     const auto error = onAnswer(result.status, body);
     if (currentQuery != queryNumber) {
--- a/main/entry/storepoller.h
+++ b/main/entry/storepoller.h
@@ -12,26 +12,26 @@
 namespace ApricotStep
 {
 
-/** What is asked of the store. */
+/** A query to the store. */
 struct StoreQuery
 {
-    /** Path and query of a call that begins now. */
+    /** Path and query string of a call that starts now. */
     std::function<std::string()> target;
-    /** How long the store may hold a call. */
+    /** How long the store may hold a call until something changes. */
     Duration holdTime;
-    /** For one call. */
+    /** The timeout of one call. */
     Duration timeout;
-    /** Takes an answer by its status and body; an error where it is none to use, and the store is asked again. */
+    /** Handles the status and body of an answer. Returns an error if the answer is unusable; the query is then retried. */
     std::function<std::optional<Error>(int, const std::string &)> onAnswer;
 };
 
-/** Puts one question at a time to the platform's store, in as many calls as StoreCallScheduler decides, and takes the first answer. */
+/** Runs one query at a time against the platform's store, in as many calls as StoreCallScheduler decides, and uses the first answer. */
 class StorePoller
 {
 public:
     struct Callbacks
     {
-        /** A call ended without an answer to use, @p waited after it began. */
+        /** A call ended without a usable answer, @p waited after it started. */
         std::function<void(const std::string &reason, Duration waited)> onFailed;
         /** No call has been answered for so long that the store counts as lost. */
         std::function<void()> onOverdue;
@@ -40,7 +40,7 @@
     StorePoller(IoLoop &loop, std::string address, StoreCallLimits limits, Callbacks callbacks);
     ~StorePoller();
 
-    /** Asks at once. Calls of an earlier question end. */
+    /** Sends @p query at once and cancels the calls of the previous one. */
     void ask(StoreQuery query);
 
 private:
--- a/main/entry/storereader.cpp
+++ b/main/entry/storereader.cpp
@@ -15,12 +15,12 @@
 namespace
 {
 
-// On top of the wait, for an answer on its way from a slow store.
+// Added to the long-poll timeout for an answer of a slow store that is still in flight.
 constexpr Duration WatchSlack { 1500 };
 constexpr Duration ReadTimeout { 3000 };
-// Neighbours reckon the end of a grace some milliseconds apart; what is asked after this counts for all of them.
+// Peers compute the end of a grace period some milliseconds apart. A query sent this much later comes after that end for all of them.
 constexpr Duration GraceMargin { 100 };
-// Shorter interruptions end no leases at the store.
+// Shorter outages do not let leases at the store expire.
 constexpr Duration MinOutageToLoseEntries { 700 };
 
 constexpr int OkStatus = 200;
@@ -38,7 +38,7 @@
     std::unique_ptr<StorePoller> poller;
 
     StoreReplica replica;
-    // While all is read: what the pages have brought so far, and the revision to watch from.
+    // State of a full read: the keys of the pages so far, and the revision to watch from.
     std::vector<std::string> listedKeys;
     std::optional<Platform::StoreRevision> watchFrom;
     std::string pageAfter;
@@ -46,11 +46,11 @@
     bool hasReadAll = false;
     Time lastAnswerAt;
     Time watchStartedAt;
-    /** All that the store held then is known here. */
+    /** This node knows everything that the store held at this time. */
     Time snapshotTime;
     bool isLost = false;
     bool isFollowing = false;
-    /** Following, with no call to the store on its way. */
+    /** This node follows, and has no call to the store in flight. */
     bool isPaused = false;
     Time recoveredAt = Time::never();
 
@@ -154,7 +154,7 @@
         return page.error();
     }
     markAnswered();
-    // Pages are no snapshot: changes since the first one are watched for, else those between two pages would be missed.
+    // The pages are not one snapshot: the watch begins at the first one's revision, otherwise changes between two pages would be missed.
     watchFrom = watchFrom.value_or(page.value().revision);
     ClusterStateChanges changes;
     merge(page.value().items, "store", changes);
@@ -168,7 +168,7 @@
         return std::nullopt;
     }
     pageAfter.clear();
-    // What a neighbour told of while the pages came stays: the watch brings it again, and it would not be news a second time.
+    // What a peer has sent during the read is kept: when the watch delivers it again, it is no longer newer and would not be applied.
     for (const Platform::StoreItem &missing : replica.retainOnly(listedKeys, *watchFrom, loop.clock().now())) {
         apply(missing, "store", changes);
     }
@@ -223,7 +223,7 @@
     return std::nullopt;
 }
 
-// Whether an upstream is gone shows in what is asked after its grace, so a pause does not outlast that.
+// Only a query that is sent after the grace period shows whether an upstream is gone, so the delay does not extend beyond that.
 Duration StoreReader::Private::delayAfterAnswer() const
 {
     const Time now = loop.clock().now();
@@ -263,7 +263,7 @@
 void StoreReader::Private::applyConfiguration(const Platform::StoreItem &item, const std::string &source, ClusterStateChanges &changes)
 {
     if (item.isDeleted) {
-        return; // The last one stays in force.
+        return; // The last configuration stays in force.
     }
     auto decoded = Platform::decodeConfiguration(item.value);
     if (decoded.isOk() && clusterState.routes != nullptr && decoded.value().version <= clusterState.routes->version()) {
@@ -364,7 +364,7 @@
     }
     const Time now = d->loop.clock().now();
     if (offered.timeSinceRecovery) {
-        // The peer saw the store away; what it then lists no longer may come back as if this node had seen it itself.
+        // The peer has seen an outage of the store. Entries missing afterwards get the grace period as if this node had seen it, too.
         d->clusterState.upstreams.onStoreRegained(now - *offered.timeSinceRecovery);
         d->recoveredAt = now - *offered.timeSinceRecovery;
     }
--- a/main/entry/storereader.h
+++ b/main/entry/storereader.h
@@ -13,7 +13,7 @@
 namespace ApricotStep
 {
 
-/** What changed in the beliefs. */
+/** What changed in the cluster state. */
 struct ClusterStateChanges
 {
     bool isRoutesChanged = false;
@@ -26,50 +26,51 @@
     }
 };
 
-/** What another node read of the store. */
+/** Changes that another node has read from the store. */
 struct PeerChanges
 {
-    /** As StoreReader::changesSince() gives it. */
+    /** The result of its StoreReader::changesSince(). */
     std::string body;
     /** Its timeSinceRecovery(). */
     std::optional<Duration> timeSinceRecovery;
-    /** Its snapshotAge(); unset where it did not say. */
+    /** Its snapshotAge(); unset if it did not report it. */
     std::optional<Duration> snapshotAge;
 };
 
 /**
- * Keeps the beliefs at what the platform's store holds: reads all of it once, then waits for changes.
+ * Keeps the cluster state up to date with the platform's store: reads the whole store once, then watches it for changes.
  *
- * While the store is away the last facts stay in force. A configuration never goes back to an older version, whoever offers it.
+ * During an outage of the store the last known state stays in force. A configuration is never replaced by an older version, whether that
+ * comes from the store or from a peer.
  */
 class StoreReader
 {
 public:
     using OnChanges = std::function<void(const ClusterStateChanges &)>;
 
-    /** @p changeBound: a change has to be in force within this. */
+    /** @p changeBound: the time within which a change has to be in force. */
     StoreReader(
         IoLoop &loop, EventLog &log, ClusterState &clusterState, std::string storeAddress, Duration changeBound, OnChanges onChanges);
     ~StoreReader();
 
     void start();
-    /** While following, the store is not asked for changes; mergeFromPeer() brings them. */
+    /** A follower does not watch the store; it gets the changes through mergeFromPeer(). */
     void setFollowing(bool isFollowing);
-    /** What changed after @p revision, for other nodes; empty when deletions since then have been forgotten. */
+    /** The changes after @p revision, for other nodes; empty if tombstones of later revisions have expired. */
     std::optional<std::string> changesSince(Platform::StoreRevision revision) const;
-    /** Takes in what another node has read; only what is news. Whether it could be read. */
+    /** Merges what another node has read, as far as it is newer. Returns whether the body of @p changes could be decoded. */
     bool mergeFromPeer(const NodeId &peer, const PeerChanges &changes);
-    /** Whether all of the store has been read once. */
+    /** Whether the whole store has been read; false again while it is read anew because the store has dropped its history. */
     bool hasReadAll() const;
-    /** Up to which revision this node knows all changes; 0 before all has been read once. */
+    /** The revision up to which this node knows all changes; 0 unless hasReadAll(). */
     Platform::StoreRevision revision() const;
-    /** Whether this node asks the store itself, and it answers. */
+    /** Whether this node polls the store itself, and the store answers. */
     bool isReading() const;
-    /** How long ago the store answered again after it was away; unset where that is over for all entries. */
+    /** Time since the store answered again after an outage; unset once the grace period of its entries is over. */
     std::optional<Duration> timeSinceRecovery() const;
-    /** How long ago the store held what this node knows of it; unset before all has been read once. */
+    /** Age of the latest state of the store that this node knows completely; unset unless hasReadAll(). */
     std::optional<Duration> snapshotAge() const;
-    /** How long the store has not answered; zero when it does. */
+    /** Time since the last answer of the store while it counts as lost, else zero. */
     Duration timeSinceLastAnswer() const;
 
 private:
--- a/main/entry/storereplica.cpp
+++ b/main/entry/storereplica.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-// A node that has not followed for so long reads the whole store again.
+// A node that has not followed for longer than this reads the whole store again.
 constexpr Duration TombstoneLifetime = Duration::seconds(60);
 
 } // namespace
@@ -37,7 +37,7 @@
 {
     std::vector<Platform::StoreItem> missing;
     for (const auto &[key, item] : m_items) {
-        // What was written after the reading began may have come from another node.
+        // An item that was written after the read began may have come from another node.
         if (item.revision <= revision && std::find(keys.begin(), keys.end(), key) == keys.end()) {
             missing.push_back(Platform::StoreItem { key, "", revision, true });
         }
--- a/main/entry/storereplica.h
+++ b/main/entry/storereplica.h
@@ -11,22 +11,22 @@
 {
 
 /**
- * What a node has read of the store, key by key, with the deletions of the last minute, so that others can follow it.
+ * The items that a node has read from the store, with tombstones for the deletions of the last minute, so that other nodes can follow it.
  *
- * Facts come from the store and from other nodes in any order. One of an earlier revision never replaces a later one: an upstream that has
- * left would come back, a dropped route would be served again.
+ * Items come from the store and from other nodes in any order. An item never replaces one of a later revision: otherwise an upstream that
+ * has left would reappear, and a removed route would be served again.
  */
 class StoreReplica
 {
 public:
-    /** Whether @p item was news; then it is kept. */
+    /** Stores @p item if it is newer than what is known of its key. Returns whether it was. */
     bool put(const Platform::StoreItem &item, Time now);
-    /** A whole reading at @p revision listed only @p keys: the others were deleted while nobody looked. Returns those. */
+    /** Deletes all items up to @p revision that a full read at this revision did not list in @p keys. Returns the deletions. */
     std::vector<Platform::StoreItem> retainOnly(const std::vector<std::string> &keys, Platform::StoreRevision revision, Time now);
 
-    /** Whether since() of this revision is complete: no deletion after it has been forgotten. */
+    /** Whether since() of this revision is complete: no tombstone of a later revision has expired. */
     bool isCompleteSince(Platform::StoreRevision revision) const;
-    /** All that changed after @p revision, deletions included, in the order of revisions. */
+    /** All changes after @p revision, deletions included, in the order of their revisions. */
     std::vector<Platform::StoreItem> since(Platform::StoreRevision revision) const;
 
 private:
@@ -40,7 +40,7 @@
 
     std::map<std::string, Platform::StoreItem> m_items;
     std::map<std::string, Tombstone> m_tombstones;
-    /** The latest deletion that was forgotten. */
+    /** The latest revision whose tombstone has expired. */
     Platform::StoreRevision m_lastExpiredRevision = 0;
 };
 
