--- a/main/entry/peerservice.cpp
+++ b/main/entry/peerservice.cpp
@@ -14,15 +14,15 @@
 constexpr const char *StorePath = "/peer/store";
 constexpr Duration ConnectTimeout { 300 };
 constexpr Duration FetchTimeout { 1500 };
-// The store itself usually brings the same news within this; then nothing need be fetched.
+// Delay while the store is available: within this time it usually delivers the same changes, and then there is nothing left to fetch.
 constexpr Duration FetchDelay { 250 };
 constexpr int OkStatus = 200;
 constexpr int NotFoundStatus = 404;
 constexpr int GoneStatus = 410;
 constexpr const char *AfterParameter = "after";
-// How long ago the answering node saw the store come back, in ms.
+// Time since the answering node saw the store recover from an outage, in ms.
 constexpr const char *RegainedHeader = "Store-Regained-Ms-Ago";
-// How long ago the store held what the answering node knows of it, in ms.
+// Age of the latest state of the store that the answering node knows completely, in ms.
 constexpr const char *KnownHeader = "Store-Known-Ms-Ago";
 
 std::optional<Duration> durationHeader(const HttpHeaders &headers, const char *headerName)
--- a/main/entry/peerservice.h
+++ b/main/entry/peerservice.h
@@ -13,9 +13,9 @@
 {
 
 /**
- * Hands what this node has read of the store to other nodes, and fetches from them what it lacks.
+ * Serves what this node has read from the store to other nodes, and fetches from them what it has not read itself.
  *
- * A node that the store turns away, or that starts while the store is down, would else refuse all callers though its neighbours know
+ * Without this, a node that the store rejects, or that starts while the store is down, would refuse all callers although its peers know
  * everything that it needs.
  */
 class PeerService
@@ -24,11 +24,14 @@
     PeerService(IoLoop &loop, EventLog &log, StoreReader &store);
     ~PeerService();
 
-    /** Answers another node. */
+    /** Answers a request of another node. */
     void answer(const HttpRequest &request, HttpExchange &exchange) const;
-    /** Fetches what @p peer has read beyond this node, unless that is on its way already; the store may bring it first. */
+    /**
+     * Fetches the changes that @p peer has read and this node has not, unless a fetch is in flight. While the store is available, waits a
+     * moment first, since the store may deliver them sooner.
+     */
     void fetchFrom(const Peer &peer);
-    /** The same at once. @p onDone: whether it came. */
+    /** The same without delay. @p onDone: whether the fetch succeeded; not called if another one is in flight. */
     void fetchNow(const Peer &peer, std::function<void(bool)> onDone);
 
 private:
