--- a/main/entry/entrynode.cpp
+++ b/main/entry/entrynode.cpp
@@ -30,19 +30,20 @@
 constexpr int OkStatus = 200;
 constexpr int NotFoundStatus = 404;
 constexpr int UnavailableStatus = 503;
-// Callers hold an answer for this long: short, so that they leave a node that is going away before it is gone.
+// How long callers may cache a directory answer: short, so that they stop using a leaving node before it exits.
 constexpr Duration AddressLifetime { 2000 };
-// Fewer nodes than this in the caller's zone, and it is told the others as well.
+// With fewer ready nodes than this in the caller's zone, the directory lists the nodes of all zones.
 constexpr std::size_t MinSameZoneNodes = 2;
-// Callers learn within an address's lifetime that this node leaves; until then what they send is still taken. Later it is refused, unless
-// it surely ends before the platform kills the process: an answer that the kill cuts off may be a payment that nobody knows the end of.
+// Callers may use this node's address for AddressLifetime after the node has left the directory, so all requests are accepted until
+// AcceptAllAfterDrain. Later ones are accepted only if they are certain to end before the platform kills the process: the kill may cut off
+// the answer to a payment, whose outcome would then be unknown.
 constexpr Duration AcceptAllAfterDrain { 2500 };
 constexpr Duration LingerAfterDrain { 3200 };
-// Before the platform's SIGKILL there must be time to close.
+// Time to shut down before the platform's SIGKILL.
 constexpr Duration ReserveBeforeKill { 500 };
-// File descriptors for the store, engines and peers.
+// File descriptors that are not for callers' connections but for the store, engines and peers.
 constexpr int ReservedDescriptors = 600;
-// Where metrics are served; deploy/system.toml names it as well.
+// Must match the metrics port in deploy/system.toml.
 constexpr std::uint16_t MetricsPort = 9464;
 constexpr const char *MetricsPath = "/metrics";
 constexpr std::size_t MaxHeaderBytes = 24U << 10U;
@@ -64,7 +65,7 @@
     std::unique_ptr<RequestForwarder> forwarder;
     std::unique_ptr<PeerService> peers;
     StoreReaderElection storeReaderElection;
-    /** What the last turn said. */
+    /** Whether this node reads the store itself, as of the last decision. */
     bool isStoreReader = true;
     std::vector<std::unique_ptr<HttpServer>> servers;
     HttpServer *callerServer = nullptr;
@@ -159,7 +160,7 @@
     server.maxHeaderBytes = MaxHeaderBytes;
     server.maxConnections = std::max(settings.maxDescriptors - ReservedDescriptors, 64);
     server.arrivalTimeout = ArrivalTimeout;
-    server.idleTimeout = Duration(0); // The arrival timeout ends idle connections, too.
+    server.idleTimeout = Duration(0); // The arrival timeout closes idle connections, too.
     auto started = HttpServer::start(server, std::move(handler));
     if (!started.isOk()) {
         return started.error();
@@ -189,7 +190,7 @@
     if (!directory.isOk()) {
         return directory.error();
     }
-    // A node that cannot show its metrics still serves its callers.
+    // A node that cannot open its metrics port still serves its callers.
     const auto metricsServer = listen(parseEndpoint(settings.callerAddress).ip + ':' + std::to_string(MetricsPort),
         [this](const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) { answerMetrics(request, *exchange); });
     if (!metricsServer.isOk()) {
@@ -255,7 +256,7 @@
         exchange.respond(UnavailableStatus, { { "Retry-After", "0.3" } }, "");
         return;
     }
-    // Large fleets: each caller gets other ones.
+    // In a large fleet each caller gets a random subset.
     std::shuffle(chosen.begin(), chosen.end(), std::mt19937_64(std::random_device {}()));
     chosen.resize(std::min(chosen.size(), Platform::MaxDirectoryAddresses));
     const Duration lifetime = std::min(AddressLifetime, settings.maxAddressLifetime);
@@ -407,7 +408,7 @@
 {
     EntryNode *node = runningNode;
     if (signal == SIGHUP) {
-        // A process that is only starting reads the changed settings anyway.
+        // A node that is still starting reads the changed settings anyway.
         if (node != nullptr) {
             node->reload();
         }
@@ -422,9 +423,9 @@
 
 void installSignalHandlers()
 {
-    std::signal(SIGPIPE, SIG_IGN); // NOLINT(cert-err33-c): a caller that left must not end the node
+    std::signal(SIGPIPE, SIG_IGN); // NOLINT(cert-err33-c): a write to a closed connection must not end the process
     for (const int signal : { SIGTERM, SIGINT, SIGHUP }) {
-        std::signal(signal, &handleSignal); // NOLINT(cert-err33-c): cannot fail for these
+        std::signal(signal, &handleSignal); // NOLINT(cert-err33-c): cannot fail for these signals
     }
 }
 
@@ -437,7 +438,7 @@
         std::cerr << "settings: " << settings.error().detail << "\n";
         return UsageExit;
     }
-    // One arena: memory freed by one part serves the next.
+    // A single malloc arena, so that memory freed by one part of the program is reused by the others.
     mallopt(M_ARENA_MAX, 1);
     auto node = EntryNode::start(settings.value());
     if (!node.isOk()) {
--- a/main/entry/entrynode.h
+++ b/main/entry/entrynode.h
@@ -8,7 +8,7 @@
 namespace ApricotStep
 {
 
-/** One entry node on the users' platform: caller port, readiness, directory and the link to the other nodes, on one thread. */
+/** One entry node on the users' platform. Serves callers, readiness, directory and metrics requests and the other nodes on one thread. */
 class EntryNode
 {
 public:
@@ -16,11 +16,14 @@
     static Result<std::unique_ptr<EntryNode>> start(const Platform::ProcessSettings &settings);
     ~EntryNode();
 
-    /** Serves until drain() has ended all work. */
+    /** Serves requests until the node has drained. */
     void run();
-    /** Takes no new work from callers who ask where to go, and ends run() when all answers are out. Safe in a signal handler. */
+    /**
+     * Takes this node out of the directory, and makes run() return when all answers are sent or the platform is about to kill the process.
+     * Safe in a signal handler.
+     */
     void drain();
-    /** The settings file has changed. Safe in a signal handler. */
+    /** The settings file has changed; this is only logged. Safe in a signal handler. */
     void reload();
 
 private:
@@ -30,8 +33,9 @@
 };
 
 /**
- * Takes SIGTERM, SIGINT and SIGHUP from now on. Called before anything else: a process that opens its ports first is ended by a change of
- * its settings that is announced in its first milliseconds. A wish to drain is kept for the node that starts.
+ * Installs handlers for SIGTERM, SIGINT and SIGHUP, and ignores SIGPIPE. Call it before anything else: if the ports were opened first, a
+ * SIGHUP that announces changed settings in the first milliseconds would end the process. A drain request that arrives before the node runs
+ * takes effect when it does.
  */
 void installSignalHandlers();
 
