--- a/tests/main/testentrynode.cpp
+++ b/tests/main/testentrynode.cpp
@@ -50,7 +50,7 @@
     return absl::StrCat(R"({"service":"svc","address":")", upstreamAddress, R"(","zone":"z","slots":4,"state":"ready","seq":1,"born":5})");
 }
 
-/** An upstream that serves every request. */
+/** An upstream that answers every request completely. */
 ScriptedAnswer answerCompletely(const std::string &)
 {
     return ScriptedAnswer {
@@ -58,7 +58,7 @@
     };
 }
 
-/** The store with one configuration and one upstream, which never change. */
+/** A store with one configuration, one upstream and one malformed entry, which never change. */
 ScriptedAnswer storeAnswer(const std::string &request, const std::string &upstreamAddress)
 {
     if (absl::StrContains(request, "kv-watch")) {
@@ -71,7 +71,7 @@
         ",", item("servers/forged", R"({"service":"svc","slots":"many"})"), R"(],"storeRevision":2})")) };
 }
 
-/** A store that can fall silent: what is asked meanwhile is never answered, as behind a cut link. */
+/** A store that can stop answering: calls that arrive meanwhile are never answered, as behind a network partition. */
 class UnresponsiveStore
 {
 public:
@@ -88,19 +88,19 @@
     {
         m_isUnresponsive = true;
     }
-    /** Waits until somebody has asked @p count times in vain since stopAnswering(). */
+    /** Waits until @p count calls have arrived since stopAnswering(). */
     void waitForUnanswered(int count) const
     {
         while (m_unanswered < count) {
             std::this_thread::sleep_for(std::chrono::milliseconds(2));
         }
     }
-    /** Confirms a configuration whose one route is @p pathPrefix, and answers from now on. */
+    /** Changes the configuration to one whose only route is @p pathPrefix, and answers from now on. */
     void resumeWithRoute(const std::string &pathPrefix)
     {
         resumeWithChange(item("op/config", configuration(7, pathPrefix), 3));
     }
-    /** Answers one call: the upstream's entry has lapsed meanwhile. */
+    /** Answers until it has reported that the upstream's entry has expired, then stops again. */
     void answerOnceWithoutUpstream()
     {
         m_answersOnce = true;
@@ -139,7 +139,7 @@
     ScriptedUpstream m_server;
 };
 
-/** A store of two pages with an upstream each, the second of which takes a while; nothing changes after them. */
+/** A store of two pages with an upstream each, the second of which takes SecondPageTime; nothing changes after them. */
 ScriptedAnswer answerInTwoPages(const std::string &request)
 {
     if (absl::StrContains(request, "kv-watch")) {
@@ -218,7 +218,7 @@
     return *response;
 }
 
-/** A node on a thread of its own; drained at the end. */
+/** A node that runs on its own thread and is drained on destruction. */
 struct RunningNode
 {
     explicit RunningNode(const Platform::ProcessSettings &settings)
@@ -249,8 +249,8 @@
 
 } // namespace
 
-// The whole path: a node reads the store, in which a forged entry stands as well, says that it is ready, names itself to callers and takes
-// a request to the one upstream and its answer back.
+// The whole path of a request: a node reads the store, which also holds a malformed entry, reports that it is ready, lists itself in the
+// directory, and forwards a request to the only upstream and the answer to the caller.
 Test(entrynode, forwardsRequestToUpstream)
 {
     const ScriptedUpstream upstream(&answerCompletely);
@@ -270,7 +270,8 @@
     cr_assert_eq(get(client, settings.callerAddress, "/nowhere/", headers).status, 404);
 }
 
-// The store is down when a node starts, and no other node knows anything. It refuses for now, with 503, is not ready, and names nobody.
+// The store is down when a node starts, and there is no peer. The node must not be ready, must list no addresses, and must refuse requests
+// with 503.
 Test(entrynode, isNotReadyWithoutStore)
 {
     const ScriptedUpstream store([](const std::string &) { return ScriptedAnswer { "", ScriptedAnswer::ConnectionAction::Reset }; });
@@ -283,7 +284,7 @@
     cr_assert_eq(get(client, settings.callerAddress, "/p/x", { { "Host", "h.example" }, { "Apricotstep-Request-Id", "r-1" } }).status, 503);
 }
 
-// A second node starts while the store is down for it alone. It learns the configuration and the upstreams from the first, and serves.
+// A second node starts and is the only one that cannot reach the store. It must get the configuration and the upstreams from the first.
 Test(entrynode, readsStoreThroughPeer)
 {
     const ScriptedUpstream upstream(&answerCompletely);
@@ -302,7 +303,7 @@
     cr_assert_eq(get(client, second.callerAddress, "/p/x", headers).status, 200);
 }
 
-// A node gets SIGTERM. It says at once that it takes nothing more, still answers who came late, and ends when all answers are out.
+// A draining node must report at once that it is not ready, still answer requests that arrive late, and end when all answers are sent.
 Test(entrynode, drainingNodeStillAnswers)
 {
     const ScriptedUpstream upstream(&answerCompletely);
@@ -318,8 +319,8 @@
     cr_assert_eq(get(client, settings.callerAddress, "/p/x", headers).status, 200);
 }
 
-// The settings change while a node is only starting, and the platform announces it to all processes. Without a handler from the first
-// moment on, the announcement ends the process: callers that were just told of it find nobody, and it starts once more. Soak seed 241.
+// The platform announces changed settings to all processes, even while a node is still starting. Without handlers from the very start, the
+// signal ends the process, which has to start again: callers that have just got its address cannot connect (soak test, seed 241).
 Test(entrynode, signalsDoNotEndStartingNode)
 {
     installSignalHandlers();
@@ -327,7 +328,7 @@
     cr_assert_eq(raise(SIGTERM), 0);
 }
 
-// Guards against a configuration that comes late because a call to the store, begun just before its return, is never answered.
+// Guards against a configuration that takes effect too late because a call that was sent just before the store recovered is never answered.
 Test(entrynode, appliesConfigurationInTimeAfterStoreOutage)
 {
     const ScriptedUpstream upstream(&answerCompletely);
@@ -345,7 +346,7 @@
     cr_assert_eq(get(client, settings.callerAddress, "/added/x", headers).status, 200);
 }
 
-// Guards against dropping a living upstream whose entry lapsed while the store was silent, at a node that has heard nothing since.
+// Guards against dropping a running upstream whose entry expired during an outage of the store, at a node that has received nothing since.
 Test(entrynode, keepsExpiredUpstreamUntilStoreIsReadAgain)
 {
     const ScriptedUpstream upstream(&answerCompletely);
@@ -355,7 +356,7 @@
     const RunningNode running(settings);
     cr_assert(becomesReady(client, settings));
     store.stopAnswering();
-    // Long enough for the node to take the store for lost.
+    // Long enough for the store to count as lost.
     std::this_thread::sleep_for(std::chrono::milliseconds(5000));
     store.answerOnceWithoutUpstream();
     std::this_thread::sleep_for(std::chrono::milliseconds(5000));
@@ -363,7 +364,7 @@
     cr_assert_eq(get(client, settings.callerAddress, "/p/x", headers).status, 200);
 }
 
-// Guards against losing an upstream that a neighbour tells of while the node reads the store page by page.
+// Guards against losing an upstream that a peer reports while the node reads the store page by page.
 Test(storereader, keepsPeerChangesReceivedBetweenPages)
 {
     const SystemClock clock;
--- a/tests/main/teststorereplica.cpp
+++ b/tests/main/teststorereplica.cpp
@@ -22,8 +22,8 @@
 
 } // namespace
 
-// A node gets the same facts from the store and from its neighbours, crossed on the way. An upstream that has left would come back by an
-// older account of it, and get requests that nobody answers.
+// A node gets the same items from the store and from its peers, in any order. If an older revision replaced a newer one, an upstream that
+// has left would reappear and get requests that nobody answers.
 Test(storereplica, olderRevisionNeverReplacesNewer)
 {
     StoreReplica replica;
@@ -35,7 +35,7 @@
     cr_assert(replica.put(item("servers/a", 8), Start));
 }
 
-// A node that follows another must hear of deletions as well, or it sends to upstreams that are gone.
+// A follower must get deletions as well as writes, otherwise it sends requests to upstreams that are gone.
 Test(storereplica, sinceListsWritesAndDeletions)
 {
     StoreReplica replica;
@@ -49,8 +49,8 @@
     cr_assert(replica.since(9).empty());
 }
 
-// The store forgot its history, so this node read it whole: what vanished in between was never told as a deletion. Followers that are told
-// only of what is there would keep it for good.
+// The store dropped its history, so this node read all of it again and got no deletions for the keys that are missing now. Followers that
+// got only the remaining items would keep the missing ones for good.
 Test(storereplica, keysMissingFromFullReadAreDeleted)
 {
     StoreReplica replica;
@@ -63,8 +63,8 @@
     cr_assert(changes[0].key == "servers/a" && changes[0].isDeleted && changes[1].key == "servers/new");
 }
 
-// A follower was cut off for minutes, and deletions of that time have been forgotten here. Told only the rest, it would keep what is gone;
-// it must be told to read the store itself.
+// A follower was cut off for minutes, and the tombstones of that time have expired. With only the remaining changes it would keep deleted
+// items, so it must be sent to read the store itself.
 Test(storereplica, isIncompleteAfterTombstonesExpire)
 {
     StoreReplica replica;
