--- a/coordination/adapterplan.cpp
+++ b/coordination/adapterplan.cpp
@@ -99,7 +99,7 @@
     {
     }
 
-    bool isOurTurn(const AdapterWant &want, Time now) const;
+    bool isOurTurn(const PendingAdapter &pending, Time now) const;
     void takeOwn(Engine &engine, const PlannedEngine &planned, const ResidencyTable &residencies, Time now) const;
     void takeForeign(Engine &engine, const PlannedEngine &planned, const ResidencyTable &residencies, Time now) const;
     double inFetches(double count) const;
@@ -118,7 +118,7 @@
     std::optional<double> costOfPlace(Engine &engine, const AdapterRef &adapter, Time now) const;
     static bool isOut(const Engine &engine, Time now);
     double waitAt(const Engine &engine) const;
-    void place(const AdapterWant &want, bool isReady, Time now, std::vector<PlanAction> &actions);
+    void place(const PendingAdapter &pending, bool isReady, Time now, std::vector<PlanAction> &actions);
     void beginLoad(const UpstreamId &id, Engine &engine, const AdapterRef &adapter, Time now, std::vector<PlanAction> &actions);
     void verify(const AdapterRef &adapter, Time now);
     void serveWants(Time now, std::vector<PlanAction> &actions);
@@ -283,12 +283,12 @@
 }
 
 // @p isReady: copies stand somewhere, so that this would be a further one.
-void AdapterPlan::Private::place(const AdapterWant &want, bool isReady, Time now, std::vector<PlanAction> &actions)
+void AdapterPlan::Private::place(const PendingAdapter &pending, bool isReady, Time now, std::vector<PlanAction> &actions)
 {
     const bool isStoreBusy = fetches >= loads.maxConcurrentFetches();
-    const AdapterRef &adapter = want.adapter;
+    const AdapterRef &adapter = pending.adapter;
     // All plans see nearly the same; so the plan whose engine is the best of all acts, and the others leave it to that one.
-    const bool isOnlyOwn = isOurTurn(want, now);
+    const bool isOnlyOwn = isOurTurn(pending, now);
     const UpstreamId *home = homeOf(adapter, now);
     Engine *best = nullptr;
     UpstreamId bestId;
@@ -343,13 +343,13 @@
 
 void AdapterPlan::Private::serveWants(Time now, std::vector<PlanAction> &actions)
 {
-    std::vector<AdapterWant> pendingAdapters = demand.pendingAdapters();
-    orderWants(pendingAdapters, {}, loads.firstPollDelay(false), now);
-    for (const AdapterWant &want : pendingAdapters) {
+    std::vector<PendingAdapter> pendingAdapters = demand.pendingAdapters();
+    sortPendingAdapters(pendingAdapters, {}, loads.firstPollDelay(false), now);
+    for (const PendingAdapter &pending : pendingAdapters) {
         bool isBeingSeenTo = false;
         bool isReady = false;
         for (const auto &[id, engine] : engines) {
-            const auto at = engine.copies.find(want.adapter);
+            const auto at = engine.copies.find(pending.adapter);
             if (at != engine.copies.end() && !isOut(engine, now)) {
                 isBeingSeenTo = isBeingSeenTo || isUnderWay(at->second) || at->second.state == CopyState::Checking;
                 isReady = isReady || at->second.state == CopyState::Ready;
@@ -358,10 +358,10 @@
         if (isBeingSeenTo) {
             continue;
         }
-        if (isReady && !want.hasOverloadedCopies) {
-            verify(want.adapter, now);
+        if (isReady && !pending.hasOverloadedCopies) {
+            verify(pending.adapter, now);
         } else {
-            place(want, isReady, now, actions);
+            place(pending, isReady, now, actions);
         }
     }
 }
@@ -388,10 +388,10 @@
 }
 
 // A want that is still there after a turn was left by the plan whose engine looked best from here.
-bool AdapterPlan::Private::isOurTurn(const AdapterWant &want, Time now) const
+bool AdapterPlan::Private::isOurTurn(const PendingAdapter &pending, Time now) const
 {
-    const auto rounds = static_cast<std::uint64_t>((now - want.since).milliseconds() / limits.turnTime.milliseconds());
-    const std::uint64_t home = stableHash(want.adapter.model.value(), want.adapter.adapter.value());
+    const auto rounds = static_cast<std::uint64_t>((now - pending.since).milliseconds() / limits.turnTime.milliseconds());
+    const std::uint64_t home = stableHash(pending.adapter.model.value(), pending.adapter.adapter.value());
     return rounds > 0 && (home + rounds) % std::max<std::size_t>(turn.count, 1) == turn.index;
 }
 
--- a/coordination/fleetdemand.cpp
+++ b/coordination/fleetdemand.cpp
@@ -68,12 +68,12 @@
 
 void FleetDemand::collect(Time now)
 {
-    absl::flat_hash_map<AdapterRef, Time> wantedSince;
-    for (const AdapterWant &want : m_wants) {
-        wantedSince.emplace(want.adapter, want.since);
+    absl::flat_hash_map<AdapterRef, Time> pendingSince;
+    for (const PendingAdapter &pending : m_pendingAdapters) {
+        pendingSince.emplace(pending.adapter, pending.since);
     }
     m_used.clear();
-    absl::flat_hash_map<AdapterRef, AdapterWant> wanted;
+    absl::flat_hash_map<AdapterRef, PendingAdapter> pendingByAdapter;
     for (const auto &[node, known] : m_nodes) {
         for (const AdapterUse &use : known.uses) {
             AdapterRef adapter { use.model, use.adapter };
@@ -82,20 +82,21 @@
                 continue;
             }
             // One node that finds no copy at all outweighs others that find the copies crowded.
-            const auto [at, isNew] = wanted.try_emplace(adapter, AdapterWant { adapter, use.hasOverloadedCopies, now, 0, Time() });
-            AdapterWant &want = at->second;
-            want.hasOverloadedCopies = want.hasOverloadedCopies && use.hasOverloadedCopies;
-            want.waiting += use.waiting;
+            const auto [at, isNew] =
+                pendingByAdapter.try_emplace(adapter, PendingAdapter { adapter, use.hasOverloadedCopies, now, 0, Time() });
+            PendingAdapter &pending = at->second;
+            pending.hasOverloadedCopies = pending.hasOverloadedCopies && use.hasOverloadedCopies;
+            pending.waiting += use.waiting;
             if (use.waiting > 0) {
-                want.inTimeUntil = std::max(want.inTimeUntil, known.heardAt + use.latencySlack);
+                pending.objectiveDeadline = std::max(pending.objectiveDeadline, known.heardAt + use.latencySlack);
             }
         }
     }
-    m_wants.clear();
-    for (auto &[adapter, want] : wanted) {
-        const auto since = wantedSince.find(adapter);
-        want.since = since != wantedSince.end() ? since->second : now;
-        m_wants.push_back(std::move(want));
+    m_pendingAdapters.clear();
+    for (auto &[adapter, pending] : pendingByAdapter) {
+        const auto since = pendingSince.find(adapter);
+        pending.since = since != pendingSince.end() ? since->second : now;
+        m_pendingAdapters.push_back(std::move(pending));
     }
 }
 
@@ -104,9 +105,9 @@
     return m_used.contains(std::pair(engine, adapter));
 }
 
-const std::vector<AdapterWant> &FleetDemand::pendingAdapters() const
+const std::vector<PendingAdapter> &FleetDemand::pendingAdapters() const
 {
-    return m_wants;
+    return m_pendingAdapters;
 }
 
 double FleetDemand::popularity(const AdapterRef &adapter, Time now) const
--- a/coordination/fleetdemand.h
+++ b/coordination/fleetdemand.h
@@ -15,7 +15,7 @@
 {
 
 /** An adapter that requests wait for. */
-struct AdapterWant
+struct PendingAdapter
 {
     AdapterRef adapter;
     /** Copies stand somewhere, but requests would wait too long there. */
@@ -24,7 +24,7 @@
     Time since;
     /** Requests that wait for it, and until when the freshest can begin within its latency objective. */
     std::uint32_t waiting = 0;
-    Time inTimeUntil;
+    Time objectiveDeadline;
 };
 
 /**
@@ -49,8 +49,8 @@
     void refresh(Time now);
 
     bool isUsed(const UpstreamId &engine, const AdapterRef &adapter) const;
-    /** In no order: which is to be loaded first changes with time, and orderWants() says so each round. */
-    const std::vector<AdapterWant> &pendingAdapters() const;
+    /** In no order: which is to be loaded first changes with time, and sortPendingAdapters() says so each round. */
+    const std::vector<PendingAdapter> &pendingAdapters() const;
     /** Requests for it, each counting half after the half life. */
     double popularity(const AdapterRef &adapter, Time now) const;
 
@@ -74,7 +74,7 @@
     absl::flat_hash_map<NodeId, NodeUses> m_nodes;
     absl::flat_hash_map<AdapterRef, Popularity> m_popularity;
     absl::flat_hash_set<std::pair<UpstreamId, AdapterRef>> m_used;
-    std::vector<AdapterWant> m_wants;
+    std::vector<PendingAdapter> m_pendingAdapters;
     bool m_isChanged = false;
     Time m_sweptAt;
 };
--- a/coordination/pendingadapterorder.cpp
+++ b/coordination/pendingadapterorder.cpp
@@ -10,30 +10,30 @@
 {
 
 // Of the requests that wait for one adapter at one node only the freshest is known to be in time; the others count as late.
-double gainOf(const AdapterWant &want, const WantOrderLimits &limits, Duration load, Time now)
+double gainOf(const PendingAdapter &pending, const PendingAdapterOrderLimits &limits, Duration load, Time now)
 {
-    const auto waiting = static_cast<double>(std::max<std::uint32_t>(want.waiting, 1));
-    const bool isInTime = now + load <= want.inTimeUntil;
-    return isInTime ? 1 + (waiting - 1) * limits.lateShare : waiting * limits.lateShare;
+    const auto waiting = static_cast<double>(std::max<std::uint32_t>(pending.waiting, 1));
+    const bool isInTime = now + load <= pending.objectiveDeadline;
+    return isInTime ? 1 + (waiting - 1) * limits.lateWeight : waiting * limits.lateWeight;
 }
 
 } // namespace
 
-void orderWants(std::vector<AdapterWant> &pendingAdapters, const WantOrderLimits &limits, Duration load, Time now)
+void sortPendingAdapters(std::vector<PendingAdapter> &pendingAdapters, const PendingAdapterOrderLimits &limits, Duration load, Time now)
 {
-    std::vector<std::pair<double, AdapterWant>> weighed;
-    weighed.reserve(pendingAdapters.size());
-    for (AdapterWant &want : pendingAdapters) {
-        weighed.emplace_back(gainOf(want, limits, load, now), std::move(want));
+    std::vector<std::pair<double, PendingAdapter>> weighted;
+    weighted.reserve(pendingAdapters.size());
+    for (PendingAdapter &pending : pendingAdapters) {
+        weighted.emplace_back(gainOf(pending, limits, load, now), std::move(pending));
     }
     // Among equals the older want: none waits for all others for good.
-    std::sort(weighed.begin(), weighed.end(), [](const auto &a, const auto &b) {
+    std::sort(weighted.begin(), weighted.end(), [](const auto &a, const auto &b) {
         return std::tie(a.second.hasOverloadedCopies, b.first, a.second.since, a.second.adapter)
             < std::tie(b.second.hasOverloadedCopies, a.first, b.second.since, b.second.adapter);
     });
     pendingAdapters.clear();
-    for (auto &[gain, want] : weighed) {
-        pendingAdapters.push_back(std::move(want));
+    for (auto &[gain, pending] : weighted) {
+        pendingAdapters.push_back(std::move(pending));
     }
 }
 
--- a/coordination/pendingadapterorder.h
+++ b/coordination/pendingadapterorder.h
@@ -16,13 +16,13 @@
 // requests are not forgotten: they count too, each for a part of one that can be in time, so an adapter that many late ones wait for comes
 // before a single one that can be in time.
 
-struct WantOrderLimits
+struct PendingAdapterOrderLimits
 {
     /** What a late answer is worth to its caller, against one in time. */
-    double lateShare = 0.3;
+    double lateWeight = 0.3;
 };
 
 /** Sorts @p pendingAdapters, the one to be loaded first to the front. @p load: what a load is expected to take. */
-void orderWants(std::vector<AdapterWant> &pendingAdapters, const WantOrderLimits &limits, Duration load, Time now);
+void sortPendingAdapters(std::vector<PendingAdapter> &pendingAdapters, const PendingAdapterOrderLimits &limits, Duration load, Time now);
 
 } // namespace ApricotStep
--- a/tests/coordination/testadapterplan.cpp
+++ b/tests/coordination/testadapterplan.cpp
@@ -37,7 +37,7 @@
     {
         m_uses.push_back(AdapterUse { BaseModelId("m"), AdapterId(adapter), UpstreamId(engine), count, false });
     }
-    void want(const std::string &adapter, bool hasOverloadedCopies = false)
+    void addPending(const std::string &adapter, bool hasOverloadedCopies = false)
     {
         m_uses.push_back(AdapterUse { BaseModelId("m"), AdapterId(adapter), UpstreamId(), 1, hasOverloadedCopies });
     }
@@ -234,7 +234,7 @@
 Test(adapterplan, aWantedAdapterIsLoadedOnce)
 {
     PlanBench bench(3);
-    bench.want("a");
+    bench.addPending("a");
     bench.run(Duration(400));
     cr_assert_eq(bench.copies("a"), 1);
     cr_assert_eq(bench.loads(), 1);
@@ -248,7 +248,7 @@
     for (int round = 0; round < 60; ++round) {
         bench.clearUses();
         for (int i = 0; i < 4; ++i) {
-            bench.want("a" + std::to_string((round * 3 + i) % 23));
+            bench.addPending("a" + std::to_string((round * 3 + i) % 23));
         }
         bench.run(Duration(330));
     }
@@ -261,12 +261,12 @@
 {
     PlanBench bench(1);
     for (const char *name : { "a", "b", "c" }) {
-        bench.want(name);
+        bench.addPending(name);
     }
     bench.run(Duration(2000));
     bench.setUnloadWaits(true);
     bench.clearUses();
-    bench.want("d");
+    bench.addPending("d");
     bench.run(Duration(2000));
     cr_assert_eq(bench.crashes(), 0);
     cr_assert_not(bench.holds(0, "d"));
@@ -281,13 +281,13 @@
 {
     PlanBench bench(1);
     for (const char *name : { "a", "b", "c" }) {
-        bench.want(name);
+        bench.addPending(name);
     }
     bench.run(Duration(2000));
     for (int round = 0; round < 20; ++round) {
         bench.clearUses();
         bench.use("a", "e0", 0);
-        bench.want("x" + std::to_string(round));
+        bench.addPending("x" + std::to_string(round));
         bench.run(Duration(700));
         cr_assert(bench.holds(0, "a"), "round %d", round);
     }
@@ -298,12 +298,12 @@
 Test(adapterplan, aCrowdedAdapterGetsAnotherCopy)
 {
     PlanBench bench(2);
-    bench.want("hot");
+    bench.addPending("hot");
     bench.run(Duration(1000));
     cr_assert_eq(bench.copies("hot"), 1);
     bench.setLoad(bench.holds(0, "hot") ? 0 : 1, 40'000);
     bench.clearUses();
-    bench.want("hot", true);
+    bench.addPending("hot", true);
     bench.run(Duration(1000));
     cr_assert_eq(bench.copies("hot"), 2);
 }
@@ -312,12 +312,12 @@
 Test(adapterplan, aCrowdedAdapterGetsNoCopyThatDoesNotHelp)
 {
     PlanBench bench(2);
-    bench.want("hot");
+    bench.addPending("hot");
     bench.run(Duration(1000));
     bench.setLoad(0, 40'000);
     bench.setLoad(1, 40'000);
     bench.clearUses();
-    bench.want("hot", true);
+    bench.addPending("hot", true);
     bench.run(Duration(1000));
     cr_assert_eq(bench.copies("hot"), 1);
 }
@@ -328,11 +328,11 @@
     PlanBench bench(1);
     for (int round = 0; round < 20; ++round) {
         bench.clearUses();
-        bench.want("hot");
-        bench.want("warm");
+        bench.addPending("hot");
+        bench.addPending("warm");
         bench.run(Duration(400));
         bench.clearUses();
-        bench.want("rare" + std::to_string(round));
+        bench.addPending("rare" + std::to_string(round));
         bench.run(Duration(700));
     }
     cr_assert(bench.holds(0, "hot"));
@@ -344,7 +344,7 @@
 Test(adapterplan, copiesAtACrashedEngineAreReplaced)
 {
     PlanBench bench(2);
-    bench.want("a");
+    bench.addPending("a");
     bench.run(Duration(1000));
     const int first = bench.holds(0, "a") ? 0 : 1;
     bench.setDown(first, true);
@@ -357,7 +357,7 @@
 Test(adapterplan, aCopyThatIsAskedAboutStaysInUse)
 {
     PlanBench bench(1);
-    bench.want("a");
+    bench.addPending("a");
     bench.run(Duration(1000));
     for (int step = 0; step < 50; ++step) {
         cr_assert(bench.isKnownToHold(0, "a"));
@@ -390,7 +390,7 @@
 {
     PlanBench bench(1);
     for (const char *name : { "a", "b", "c" }) {
-        bench.want(name);
+        bench.addPending(name);
         bench.run(Duration(1000));
         bench.clearUses();
     }
@@ -398,7 +398,7 @@
     bench.restart(0);
     bench.run(Duration(200));
     cr_assert_not(bench.isKnownToHold(0, "c"));
-    bench.want("d");
+    bench.addPending("d");
     bench.run(Duration(2000));
     cr_assert(bench.isKnownToHold(0, "d"));
 }
@@ -409,13 +409,13 @@
 {
     PlanBench bench(60);
     for (int i = 0; i < 60; ++i) {
-        bench.want("first" + std::to_string(i));
+        bench.addPending("first" + std::to_string(i));
     }
     bench.run(Duration(100));
-    bench.want("zlast");
+    bench.addPending("zlast");
     for (int round = 0; round < 8; ++round) {
         for (int i = 0; i < 10; ++i) {
-            bench.want("early" + std::to_string(round * 10 + i));
+            bench.addPending("early" + std::to_string(round * 10 + i));
         }
         bench.run(Duration(250));
     }
--- a/tests/coordination/testpendingadapterorder.cpp
+++ b/tests/coordination/testpendingadapterorder.cpp
@@ -11,16 +11,16 @@
 constexpr Time Now { 10'000 };
 constexpr Duration Load { 250 };
 
-AdapterWant want(const std::string &name, Duration age, std::uint32_t waiting, Duration latencySlack)
+PendingAdapter pending(const std::string &name, Duration age, std::uint32_t waiting, Duration latencySlack)
 {
-    return AdapterWant { AdapterRef { BaseModelId("m"), AdapterId(name) }, false, Now - age, waiting, Now + latencySlack };
+    return PendingAdapter { AdapterRef { BaseModelId("m"), AdapterId(name) }, false, Now - age, waiting, Now + latencySlack };
 }
 
-std::string order(std::vector<AdapterWant> pendingAdapters)
+std::string order(std::vector<PendingAdapter> pendingAdapters)
 {
-    orderWants(pendingAdapters, {}, Load, Now);
+    sortPendingAdapters(pendingAdapters, {}, Load, Now);
     std::string names;
-    for (const AdapterWant &sorted : pendingAdapters) {
+    for (const PendingAdapter &sorted : pendingAdapters) {
         names += sorted.adapter.adapter.value();
     }
     return names;
@@ -30,27 +30,27 @@
 
 // Two callers ask for rare adapters; one of them has waited so long that his answer is late whatever happens. Loaded in the order of their
 // asking, both are late.
-Test(wantorder, whoCanStillBeInTimeGoesFirst)
+Test(pendingadapterorder, whoCanStillBeInTimeGoesFirst)
 {
-    cr_assert(order({ want("a", Duration(600), 1, Duration(-100)), want("b", Duration(20), 1, Duration(480)) }) == "ba");
+    cr_assert(order({ pending("a", Duration(600), 1, Duration(-100)), pending("b", Duration(20), 1, Duration(480)) }) == "ba");
 }
 
 // Twenty callers wait for one adapter and one for another. Were the one's loaded first, twenty would wait longer for his sake.
-Test(wantorder, whatMoreWaitForGoesFirst)
+Test(pendingadapterorder, whatMoreWaitForGoesFirst)
 {
-    cr_assert(order({ want("a", Duration(90), 1, Duration(410)), want("b", Duration(20), 20, Duration(480)) }) == "ba");
-    cr_assert(order({ want("a", Duration(90), 1, Duration(410)), want("b", Duration(2000), 20, Duration(-100)) }) == "ba");
+    cr_assert(order({ pending("a", Duration(90), 1, Duration(410)), pending("b", Duration(20), 20, Duration(480)) }) == "ba");
+    cr_assert(order({ pending("a", Duration(90), 1, Duration(410)), pending("b", Duration(2000), 20, Duration(-100)) }) == "ba");
 }
 
-Test(wantorder, amongEqualsTheOldestGoesFirst)
+Test(pendingadapterorder, amongEqualsTheOldestGoesFirst)
 {
-    cr_assert(order({ want("a", Duration(10), 1, Duration(490)), want("b", Duration(90), 1, Duration(410)) }) == "ba");
-    cr_assert(order({ want("a", Duration(700), 1, Duration(-200)), want("b", Duration(900), 1, Duration(-400)) }) == "ba");
+    cr_assert(order({ pending("a", Duration(10), 1, Duration(490)), pending("b", Duration(90), 1, Duration(410)) }) == "ba");
+    cr_assert(order({ pending("a", Duration(700), 1, Duration(-200)), pending("b", Duration(900), 1, Duration(-400)) }) == "ba");
 }
 
 // A fleet starts with nothing loaded under twice the load that its store bears. First come, first served makes nearly every caller who has
 // to wait late by a little; the store could serve half of all in time and the rest late.
-Test(wantorder, aColdStartServesHalfOfTheCallersInTime)
+Test(pendingadapterorder, aColdStartServesHalfOfTheCallersInTime)
 {
     WeightStoreBench bench(StoreFigures { 24, Duration(250), 108, 12, 18, 4 });
     bench.runLoad(Duration::seconds(6), 320, 3000, 0.9);
