--- a/coordination/adapterloadestimator.cpp
+++ b/coordination/adapterloadestimator.cpp
@@ -18,7 +18,7 @@
 constexpr Duration FirstGuess { 30 };
 constexpr double GuessGrowth = 1.2;
 // A load at hand is ten times as fast as a fetch; taken while none has been seen.
-constexpr double AtHandPart = 0.1;
+constexpr double CachedTimeRatio = 0.1;
 // The moment of the question follows the loads: down a little with each that was done at the first question, up towards the time of each
 // that was not. So about one load in eight is asked about twice, and none waits long after it is done.
 constexpr double EarlierAtStart = 0.95;
@@ -33,7 +33,7 @@
 // More than any store is asked for at once; a forged message must not lift the window beyond it.
 constexpr double MostFetches = 10'000;
 // A load that is at hand with a greater chance is treated as one.
-constexpr double LikelyAtHand = 0.5;
+constexpr double ExpectedCachedThreshold = 0.5;
 // Part by which one load moves the chance of its age.
 constexpr double ChanceStep = 0.15;
 // What is thought not to be at hand is asked about too late to tell; so the chance of its age rises by this much with each, until one is
@@ -102,7 +102,7 @@
     // Loads that failed, or that the next holder found no trace of.
     std::erase_if(engine.loads, [this, &listed](const Load &load) {
         const bool isOver = !contains(listed, load.adapter);
-        m_fetches -= isOver && !load.isThoughtAtHand ? 1 : 0;
+        m_fetches -= isOver && !load.isExpectedCached ? 1 : 0;
         return isOver;
     });
     engine.ready = std::move(ready);
@@ -125,7 +125,7 @@
 void AdapterLoadEstimator::abandonLoads(const Engine &engine)
 {
     for (const Load &load : engine.loads) {
-        m_fetches -= load.isThoughtAtHand ? 0 : 1;
+        m_fetches -= load.isExpectedCached ? 0 : 1;
     }
 }
 
@@ -141,8 +141,8 @@
 void AdapterLoadEstimator::begin(Engine &engine, std::uint64_t adapter, FencingToken fence, Time now)
 {
     Load load { adapter, now, fence, 0, ageOf(engine, adapter), false };
-    load.isThoughtAtHand = load.age > 0 && chance(load.age) > LikelyAtHand;
-    m_fetches += load.isThoughtAtHand ? 0 : 1;
+    load.isExpectedCached = load.age > 0 && chance(load.age) > ExpectedCachedThreshold;
+    m_fetches += load.isExpectedCached ? 0 : 1;
     load.fetchesAtBegin = m_fetches;
     engine.loads.push_back(load);
 }
@@ -150,16 +150,16 @@
 void AdapterLoadEstimator::end(const Load &load, FencingToken fence, Time now)
 {
     const double fetches = (load.fetchesAtBegin + m_fetches) / 2;
-    m_fetches -= load.isThoughtAtHand ? 0 : 1;
+    m_fetches -= load.isExpectedCached ? 0 : 1;
     const double stretch = m_shortestMs > 0 ? static_cast<double>((now - load.begunAt).milliseconds()) / m_shortestMs : 0;
     // The next holder asks anew about what it finds under way; the time is then that of the change.
     if (fence != load.fence || stretch == 0 || stretch > m_limits.longestCredible) {
         return;
     }
-    const bool isShort = stretch < m_limits.atHandBelow;
+    const bool isShort = stretch < m_limits.cachedMaxRatio;
     if (load.age > 0) {
         double &known = m_chances[ageClass(load.age, Ages)];
-        known += load.isThoughtAtHand ? ((isShort ? 1.0 : 0.0) - known) * ChanceStep : (1 - known) * ChanceRecovery;
+        known += load.isExpectedCached ? ((isShort ? 1.0 : 0.0) - known) * ChanceStep : (1 - known) * ChanceRecovery;
     }
     if (!isShort) {
         moveWindow(fetches, stretch);
@@ -188,13 +188,13 @@
         if (sorted[i] >= sorted[i - 1] * m_limits.gapBetweenSorts && m_shortestMs < sorted[i] / m_limits.gapBetweenSorts) {
             m_shortestMs = sorted[i];
             m_usualFetchMs = sorted[i];
-            m_usualAtHandMs = 0;
+            m_typicalCachedMs = 0;
             m_window = std::max(m_window, m_limits.firstWindow);
             m_hasSlowedDown = false;
             return;
         }
     }
-    if (sorted.size() == SeenKept && sorted.back() < m_shortestMs * m_limits.atHandBelow) {
+    if (sorted.size() == SeenKept && sorted.back() < m_shortestMs * m_limits.cachedMaxRatio) {
         m_shortestMs = sorted.front();
         m_usualFetchMs = sorted.back();
     }
@@ -206,16 +206,16 @@
     const auto at = m_engines.find(load.engine);
     const bool isStart = m_ownFetches < LoadsAtStart;
     // Done at the first question, it may have been done for long: at hand, if the engine can have it there.
-    const bool isBracketed = load.unfinished > 0 || (at != m_engines.end() && at->second.isKnownFromStart && !load.wasThoughtAtHand);
+    const bool isBracketed = load.unfinished > 0 || (at != m_engines.end() && at->second.isKnownFromStart && !load.wasExpectedCached);
     if (isBracketed) {
         noteSeen(tookMs);
         correctShortest();
     }
-    const int earlyQuestions = load.wasThoughtAtHand ? EarlyQuestions : 0;
-    const double atHandBelow = load.wasThoughtAtHand ? m_limits.atHandBelow : m_limits.surelyAtHandBelow;
-    const bool wasAtHand = m_shortestMs > 0 ? tookMs < m_shortestMs * atHandBelow : load.unfinished < earlyQuestions;
-    if (wasAtHand) {
-        follow(m_usualAtHandMs, tookMs, load.unfinished == 0, isStart);
+    const int earlyQuestions = load.wasExpectedCached ? EarlyQuestions : 0;
+    const double cachedMaxRatio = load.wasExpectedCached ? m_limits.cachedMaxRatio : m_limits.unexpectedCachedMaxRatio;
+    const bool wasCached = m_shortestMs > 0 ? tookMs < m_shortestMs * cachedMaxRatio : load.unfinished < earlyQuestions;
+    if (wasCached) {
+        follow(m_typicalCachedMs, tookMs, load.unfinished == 0, isStart);
         return;
     }
     ++m_ownFetches;
@@ -236,7 +236,7 @@
     m_shortestMs = static_cast<double>(view.minFetchTime.milliseconds());
     m_shortestAt = now;
     m_usualFetchMs = std::max(static_cast<double>(view.typicalFetchTime.milliseconds()), m_shortestMs);
-    m_usualAtHandMs = static_cast<double>(std::max(view.typicalCachedLoadTime, Duration(0)).milliseconds());
+    m_typicalCachedMs = static_cast<double>(std::max(view.typicalCachedLoadTime, Duration(0)).milliseconds());
     m_window = std::clamp(view.maxConcurrentFetches, m_limits.leastWindow, MostFetches);
     m_hasSlowedDown = view.hasSeenContention;
     // The other may have been misled; its time stands beside the ones that this node sees.
@@ -248,7 +248,7 @@
     if (m_shortestMs == 0) {
         return std::nullopt;
     }
-    return StoreView { m_window, minFetchTime(), firstPollDelay(false), Duration(static_cast<std::int64_t>(m_usualAtHandMs)),
+    return StoreView { m_window, minFetchTime(), firstPollDelay(false), Duration(static_cast<std::int64_t>(m_typicalCachedMs)),
         m_hasSlowedDown };
 }
 
@@ -292,25 +292,25 @@
     return m_shortestMs == 0 ? m_limits.timeBeforeFirst : Duration(static_cast<std::int64_t>(m_shortestMs));
 }
 
-Duration AdapterLoadEstimator::firstPollDelay(bool isAtHand) const
+Duration AdapterLoadEstimator::firstPollDelay(bool isCached) const
 {
     if (m_usualFetchMs == 0) {
         return FirstGuess;
     }
-    if (!isAtHand) {
+    if (!isCached) {
         return Duration(static_cast<std::int64_t>(m_usualFetchMs));
     }
-    const double usualMs = m_usualAtHandMs > 0 ? m_usualAtHandMs : m_usualFetchMs * AtHandPart;
+    const double usualMs = m_typicalCachedMs > 0 ? m_typicalCachedMs : m_usualFetchMs * CachedTimeRatio;
     // The last early question must come before a load counts as a fetch.
-    const double latestMs = m_usualFetchMs * m_limits.atHandBelow / EarlyQuestions;
+    const double latestMs = m_usualFetchMs * m_limits.cachedMaxRatio / EarlyQuestions;
     return Duration(static_cast<std::int64_t>(std::min(usualMs, latestMs)));
 }
 
-Duration AdapterLoadEstimator::nextQuestion(Duration elapsed, int unfinished, bool isAtHand) const
+Duration AdapterLoadEstimator::nextQuestion(Duration elapsed, int unfinished, bool isCached) const
 {
     const auto elapsedMs = static_cast<double>(elapsed.milliseconds());
     double again = m_usualFetchMs * AgainPart;
-    if (isAtHand && unfinished < EarlyQuestions) {
+    if (isCached && unfinished < EarlyQuestions) {
         again = elapsedMs;
     } else if (m_usualFetchMs == 0) {
         again = elapsedMs * (GuessGrowth - 1);
@@ -320,7 +320,7 @@
     return std::max(LeastAgain, Duration(static_cast<std::int64_t>(again)));
 }
 
-double AdapterLoadEstimator::chanceAtHand(const UpstreamId &id, const AdapterRef &adapter) const
+double AdapterLoadEstimator::cacheHitProbability(const UpstreamId &id, const AdapterRef &adapter) const
 {
     const auto at = m_engines.find(id);
     if (at == m_engines.end()) {
@@ -330,9 +330,9 @@
     return age == 0 ? 0 : chance(age);
 }
 
-bool AdapterLoadEstimator::isThoughtAtHand(const UpstreamId &engine, const AdapterRef &adapter) const
+bool AdapterLoadEstimator::isExpectedCached(const UpstreamId &engine, const AdapterRef &adapter) const
 {
-    return chanceAtHand(engine, adapter) > LikelyAtHand;
+    return cacheHitProbability(engine, adapter) > ExpectedCachedThreshold;
 }
 
 double AdapterLoadEstimator::chance(std::uint32_t age) const
--- a/coordination/adapterloadestimator.h
+++ b/coordination/adapterloadestimator.h
@@ -39,9 +39,9 @@
     double windowGrowth = 0.25;
     /** Loads at hand are ten times as fast as fetches; one thought to be at hand was, if it took less than this part of the shortest fetch.
      */
-    double atHandBelow = 0.6;
+    double cachedMaxRatio = 0.6;
     /** The same for loads that nobody thought to be at hand, as those of engines that have run for longer than this node. */
-    double surelyAtHandBelow = 0.35;
+    double unexpectedCachedMaxRatio = 0.35;
     /** Between the times of loads at hand and of fetches lies a gap of this factor at least, and more than two fetches differ by. */
     double gapBetweenSorts = 2.5;
     /** The shortest time is forgotten by this part a second: a store may become slower for good. */
@@ -60,7 +60,7 @@
     Duration took;
     /** How often the engine had said that it is not. */
     int unfinished = 0;
-    bool wasThoughtAtHand = false;
+    bool wasExpectedCached = false;
 };
 
 /** Observes how long loads of adapters take, how many the weight store bears, and what engines keep at hand. Not thread-safe. */
@@ -86,14 +86,14 @@
     int fetchesInFlight() const;
     /** What a fetch takes that is not slowed down by others. */
     Duration minFetchTime() const;
-    /** How long after its order to ask whether a load is done. @p isAtHand: the engine is thought to have it at hand. */
-    Duration firstPollDelay(bool isAtHand) const;
+    /** How long after its order to ask whether a load is done. @p isCached: the engine is thought to have it at hand. */
+    Duration firstPollDelay(bool isCached) const;
     /** How long after an answer that it is not to ask again: the @p unfinished -th, @p elapsed after the order. */
-    Duration nextQuestion(Duration elapsed, int unfinished, bool isAtHand) const;
+    Duration nextQuestion(Duration elapsed, int unfinished, bool isCached) const;
     /** How likely @p engine still has @p adapter, which it does not hold now, at hand: 0 to 1. */
-    double chanceAtHand(const UpstreamId &engine, const AdapterRef &adapter) const;
+    double cacheHitProbability(const UpstreamId &engine, const AdapterRef &adapter) const;
     /** Whether a load of @p adapter at @p engine is expected not to burden the store. */
-    bool isThoughtAtHand(const UpstreamId &engine, const AdapterRef &adapter) const;
+    bool isExpectedCached(const UpstreamId &engine, const AdapterRef &adapter) const;
 
 private:
     struct Load
@@ -104,7 +104,7 @@
         double fetchesAtBegin = 0;
         /** Adapters dropped by the engine since it last held this one; 0 when it never did. */
         std::uint32_t age = 0;
-        bool isThoughtAtHand = false;
+        bool isExpectedCached = false;
     };
     struct Engine
     {
@@ -149,7 +149,7 @@
     std::size_t m_nextSeen = 0;
     /** After this time most fetches and most loads at hand are done, ms; 0 while none has been seen. */
     double m_usualFetchMs = 0;
-    double m_usualAtHandMs = 0;
+    double m_typicalCachedMs = 0;
     double m_window;
     bool m_hasSlowedDown = false;
     std::array<double, Ages> m_chances;
--- a/coordination/adapterplan.cpp
+++ b/coordination/adapterplan.cpp
@@ -40,7 +40,7 @@
     /** An order about it is on its way. */
     bool isAsked = false;
     /** Its load, if it is one, is thought not to burden the store. */
-    bool isAtHand = false;
+    bool isCached = false;
     /** Of a load that this plan ordered: when, and how often the engine has said that it is not done. */
     std::optional<Time> orderedAt;
     int unfinished = 0;
@@ -168,7 +168,7 @@
     fetches = 0;
     for (auto &[id, engine] : engines) {
         fetches += static_cast<int>(std::count_if(engine.copies.begin(), engine.copies.end(),
-            [](const auto &entry) { return isUnderWay(entry.second) && !entry.second.isAtHand; }));
+            [](const auto &entry) { return isUnderWay(entry.second) && !entry.second.isCached; }));
         engine.firstToYield.reset();
     }
 }
@@ -230,7 +230,7 @@
         return std::nullopt;
     }
     double cost =
-        waitAt(engine) / std::max(engine.planned.share, 0.1) - loads.chanceAtHand(engine.id, adapter) * inFetches(limits.atHandGain);
+        waitAt(engine) / std::max(engine.planned.share, 0.1) - loads.cacheHitProbability(engine.id, adapter) * inFetches(limits.cachedGain);
     if (static_cast<int>(engine.copies.size()) < engine.planned.spec->adapterSlots) {
         // Free places are filled evenly: an engine with few copies gets few requests.
         return cost
@@ -258,10 +258,10 @@
 {
     Copy &copy = engine.copies[adapter];
     copy = Copy { newestVersion(adapter), CopyState::Ordered, now, Time::never(), now, true };
-    copy.isAtHand = loads.isThoughtAtHand(engine.id, adapter);
+    copy.isCached = loads.isExpectedCached(engine.id, adapter);
     copy.orderedAt = now;
     engine.isChanged = true;
-    fetches += copy.isAtHand ? 0 : 1;
+    fetches += copy.isCached ? 0 : 1;
     actions.emplace_back(SendOrder { loadOrder(id, adapter) });
 }
 
@@ -298,7 +298,7 @@
         if (engine.copies.contains(adapter) && !isOut(engine, now)) {
             presentWait = std::min(presentWait, waitAt(engine));
         }
-        const bool isBarred = (isOnlyOwn && !engine.planned.isOwn) || (isStoreBusy && !loads.isThoughtAtHand(engine.id, adapter));
+        const bool isBarred = (isOnlyOwn && !engine.planned.isOwn) || (isStoreBusy && !loads.isExpectedCached(engine.id, adapter));
         auto cost = isBarred ? std::nullopt : costOfPlace(engine, adapter, now);
         if (cost && home != nullptr && id == *home) {
             *cost -= inFetches(limits.homeGain);
@@ -539,9 +539,9 @@
             const AdapterRef adapter { copy.model, copy.adapter };
             const auto known = former.find(adapter);
             const Time since = known != former.end() ? known->second.since : now;
-            const bool isThoughtAtHand = known != former.end() ? known->second.isAtHand : loads.isThoughtAtHand(engine.id, adapter);
+            const bool isExpectedCached = known != former.end() ? known->second.isCached : loads.isExpectedCached(engine.id, adapter);
             engine.copies[adapter] =
-                Copy { copy.version, copy.isReady ? CopyState::Ready : CopyState::Loading, since, now, now, false, isThoughtAtHand };
+                Copy { copy.version, copy.isReady ? CopyState::Ready : CopyState::Loading, since, now, now, false, isExpectedCached };
         }
     }
 }
@@ -616,7 +616,7 @@
     switch (answer) {
     case OrderAnswer::Done:
         if (copy.orderedAt && copy.state == CopyState::Loading) {
-            d->loads.onOwnLoad(OwnLoad { order.engine, now - *copy.orderedAt, copy.unfinished, copy.isAtHand }, now);
+            d->loads.onOwnLoad(OwnLoad { order.engine, now - *copy.orderedAt, copy.unfinished, copy.isCached }, now);
         }
         copy.orderedAt.reset();
         copy.state = CopyState::Ready;
@@ -632,10 +632,10 @@
         if (copy.state != CopyState::Loading) {
             copy.state = CopyState::Loading;
             copy.since = now;
-            copy.askAt = copy.orderedAt.value_or(now) + d->loads.firstPollDelay(copy.isAtHand);
+            copy.askAt = copy.orderedAt.value_or(now) + d->loads.firstPollDelay(copy.isCached);
         } else {
             const Duration elapsed = now - copy.orderedAt.value_or(copy.since);
-            copy.askAt = now + d->loads.nextQuestion(elapsed, ++copy.unfinished, copy.isAtHand);
+            copy.askAt = now + d->loads.nextQuestion(elapsed, ++copy.unfinished, copy.isCached);
         }
         break;
     case OrderAnswer::Busy:
--- a/coordination/adapterplan.h
+++ b/coordination/adapterplan.h
@@ -58,7 +58,7 @@
     /** What a unit of evicted popularity costs, in fetches: the load that follows, by the chance that one follows. */
     double evictionCost = 0.1;
     /** What a load of an adapter that the engine has at hand saves, in fetches: its own time, and a place in the line of all others. */
-    double atHandGain = 2.8;
+    double cachedGain = 2.8;
     /**
      * What a load at the adapter's home is worth, in fetches: it may be at hand there without anybody knowing. Less than what is known to
      * be at hand is worth, and enough to outweigh some requests ahead.
--- a/tests/coordination/testadapterloadestimator.cpp
+++ b/tests/coordination/testadapterloadestimator.cpp
@@ -63,9 +63,9 @@
     WeightStoreBench bench(WideStore);
     bench.runLoad(Duration::seconds(20), 200, 1000, 1.0);
     const int fetches = bench.fetches();
-    const int atHand = bench.loadsAtHand();
+    const int cached = bench.cachedLoads();
     bench.runLoad(Duration::seconds(10), 200, 1000, 1.0);
-    const double share = static_cast<double>(bench.loadsAtHand() - atHand) / (bench.loadsAtHand() - atHand + bench.fetches() - fetches);
+    const double share = static_cast<double>(bench.cachedLoads() - cached) / (bench.cachedLoads() - cached + bench.fetches() - fetches);
     cr_assert_geq(share, 0.7, "%.2f of the loads were at hand", share);
 }
 
@@ -73,7 +73,7 @@
 Test(adapterloads, nothingAtHandIsLearnt)
 {
     StoreFigures figures = SmallStore;
-    figures.atHand = 0;
+    figures.cached = 0;
     WeightStoreBench bench(figures);
     bench.runLoad(Duration::seconds(20), 40, 200, 1.0);
     // The engine dropped a3 and others long ago; whichever it is asked about is not thought to be at hand.
@@ -81,7 +81,7 @@
     for (int engine = 0; engine < figures.engines; ++engine) {
         for (int adapter = 0; adapter < 200; ++adapter) {
             const AdapterRef ref { BaseModelId("m"), AdapterId("a" + std::to_string(adapter)) };
-            believed += bench.loads().chanceAtHand(UpstreamId("e" + std::to_string(engine)), ref) > 0.5 ? 1 : 0;
+            believed += bench.loads().cacheHitProbability(UpstreamId("e" + std::to_string(engine)), ref) > 0.5 ? 1 : 0;
         }
     }
     cr_assert_leq(believed, 60);
@@ -110,9 +110,9 @@
     bench.restartNodes();
     bench.runLoad(Duration::seconds(1), 10, 800, 0.9);
     const int fetches = bench.fetches();
-    const int atHand = bench.loadsAtHand();
+    const int cached = bench.cachedLoads();
     bench.runLoad(Duration::seconds(5), 200, 800, 0.9);
-    const double share = static_cast<double>(bench.loadsAtHand() - atHand) / (bench.loadsAtHand() - atHand + bench.fetches() - fetches);
+    const double share = static_cast<double>(bench.cachedLoads() - cached) / (bench.cachedLoads() - cached + bench.fetches() - fetches);
     cr_assert_geq(share, 0.5, "%.2f of the loads were at hand", share);
 }
 
--- a/tests/coordination/weightstoresimulation.h
+++ b/tests/coordination/weightstoresimulation.h
@@ -39,7 +39,7 @@
     int bearsAtOnce = 8;
     Duration fetch { 250 };
     /** Adapters that an engine keeps at hand, those in its places included. */
-    std::size_t atHand = 48;
+    std::size_t cached = 48;
     int engines = 9;
     int slots = 8;
     /** Nodes that order a part of the engines each. */
@@ -165,9 +165,9 @@
     {
         return m_fetches;
     }
-    int loadsAtHand() const
+    int cachedLoads() const
     {
-        return m_loadsAtHand;
+        return m_cachedLoads;
     }
     int mostFetchesAtOnce() const
     {
@@ -212,7 +212,7 @@
         std::vector<std::string> held;
         std::vector<Load> loading;
         /** The latest held last. */
-        std::deque<std::string> atHand;
+        std::deque<std::string> cached;
         bool isDown = false;
     };
     struct Node
@@ -251,17 +251,17 @@
                     continue;
                 }
                 engine.held.push_back(at->adapter);
-                keepAtHand(engine, at->adapter);
+                addToCache(engine, at->adapter);
                 at = engine.loading.erase(at);
             }
         }
     }
-    void keepAtHand(Engine &engine, const std::string &adapter) const
+    void addToCache(Engine &engine, const std::string &adapter) const
     {
-        std::erase(engine.atHand, adapter);
-        engine.atHand.push_back(adapter);
-        if (engine.atHand.size() > m_figures.atHand) {
-            engine.atHand.pop_front();
+        std::erase(engine.cached, adapter);
+        engine.cached.push_back(adapter);
+        if (engine.cached.size() > m_figures.cached) {
+            engine.cached.pop_front();
         }
     }
     void advanceRequests()
@@ -365,12 +365,12 @@
         if (isComing) {
             return OrderAnswer::Accepted;
         }
-        const bool isAtHand = std::find(engine.atHand.begin(), engine.atHand.end(), name) != engine.atHand.end();
+        const bool isCached = std::find(engine.cached.begin(), engine.cached.end(), name) != engine.cached.end();
         const auto lateMs = static_cast<double>(m_figures.lateness.milliseconds());
         const auto fetchMs = static_cast<double>(m_figures.fetch.milliseconds());
-        engine.loading.push_back(Load { name, (isAtHand ? fetchMs / 10 : fetchMs) + lateMs, !isAtHand });
-        m_fetches += isAtHand ? 0 : 1;
-        m_loadsAtHand += isAtHand ? 1 : 0;
+        engine.loading.push_back(Load { name, (isCached ? fetchMs / 10 : fetchMs) + lateMs, !isCached });
+        m_fetches += isCached ? 0 : 1;
+        m_cachedLoads += isCached ? 1 : 0;
         m_crashes += static_cast<int>(engine.held.size() + engine.loading.size()) > m_figures.slots ? 1 : 0;
         return OrderAnswer::Accepted;
     }
@@ -385,7 +385,7 @@
     std::vector<Request> m_requests;
     std::vector<AdapterUse> m_uses;
     int m_fetches = 0;
-    int m_loadsAtHand = 0;
+    int m_cachedLoads = 0;
     int m_mostFetchesAtOnce = 0;
     int m_crashes = 0;
 };
