--- a/coordination/adapterplan.cpp
+++ b/coordination/adapterplan.cpp
@@ -43,7 +43,7 @@
     bool isCached = false;
     /** Of a load that this plan ordered: when, and how often the engine has said that it is not done. */
     std::optional<Time> orderedAt;
-    int unfinished = 0;
+    int unfinishedPolls = 0;
 };
 
 struct Engine
@@ -616,7 +616,7 @@
     switch (answer) {
     case OrderAnswer::Done:
         if (copy.orderedAt && copy.state == CopyState::Loading) {
-            d->loads.onOwnLoad(OwnLoad { order.engine, now - *copy.orderedAt, copy.unfinished, copy.isCached }, now);
+            d->loads.onLoadCompleted(CompletedLoad { order.engine, now - *copy.orderedAt, copy.unfinishedPolls, copy.isCached }, now);
         }
         copy.orderedAt.reset();
         copy.state = CopyState::Ready;
@@ -627,7 +627,7 @@
         if (copy.state == CopyState::Checking) {
             // It was gone; the question has become the order for it.
             copy.orderedAt = now;
-            copy.unfinished = 0;
+            copy.unfinishedPolls = 0;
         }
         if (copy.state != CopyState::Loading) {
             copy.state = CopyState::Loading;
@@ -635,7 +635,7 @@
             copy.askAt = copy.orderedAt.value_or(now) + d->loads.firstPollDelay(copy.isCached);
         } else {
             const Duration elapsed = now - copy.orderedAt.value_or(copy.since);
-            copy.askAt = now + d->loads.nextQuestion(elapsed, ++copy.unfinished, copy.isCached);
+            copy.askAt = now + d->loads.nextPollDelay(elapsed, ++copy.unfinishedPolls, copy.isCached);
         }
         break;
     case OrderAnswer::Busy:
