--- a/coordination/adapterplan.cpp
+++ b/coordination/adapterplan.cpp
@@ -22,9 +22,9 @@
     Loading,
     Ready,
     /** In place as far as anybody knows; the engine is asked whether it is. Requests go there meanwhile. */
-    Checking,
+    Verifying,
     /** An order to drop it is on its way. */
-    Dropping,
+    Unloading,
 };
 
 struct Copy
@@ -34,11 +34,11 @@
     /** The present state's begin. */
     Time since;
     /** When the engine is asked (again) whether the load is done. */
-    Time askAt = Time::never();
+    Time nextPollAt = Time::never();
     /** When the engine's last answer about it came: reports from before say nothing of it. */
-    Time answeredAt;
+    Time lastAnswerAt;
     /** An order about it is on its way. */
-    bool isAsked = false;
+    bool hasOrderInFlight = false;
     /** Its load, if it is one, is thought not to burden the store. */
     bool isCached = false;
     /** Of a load that this plan ordered: when, and how often the engine has said that it is not done. */
@@ -54,21 +54,21 @@
     /** The start of the engine that this speaks of. */
     std::int64_t startedAt = 0;
     /** The row that this was last taken from, of an engine that another plan orders. */
-    std::pair<FencingToken, std::uint64_t> rowTaken;
+    std::pair<FencingToken, std::uint64_t> residencyVersion;
     std::map<AdapterRef, Copy> copies;
     /** Base models on their way, since when. */
     std::map<BaseModelId, Time> loadingModels;
     std::vector<BaseModelId> models;
-    Time reportAskedAt;
+    Time reportPolledAt;
     /** It gave no answer to an order; until then it counts as down. */
-    Time downUntil;
+    Time unresponsiveUntil;
     /** A report has come since this plan knows of the engine; before, its places are a guess. */
-    bool isReported = false;
+    bool hasReport = false;
     /** When copies were dropped: reports from before still list them. */
     std::map<AdapterRef, Time> droppedAt;
     bool isChanged = true;
     /** The copy that would yield first, once it has been asked for in this round. */
-    std::optional<std::optional<AdapterRef>> firstToYield;
+    std::optional<std::optional<AdapterRef>> evictionCandidate;
 };
 
 } // namespace
@@ -81,15 +81,15 @@
     std::map<UpstreamId, Engine> engines;
     std::map<AdapterRef, AdapterVersion> versions;
     FleetDemand demand;
-    PlanRotation turn;
+    PlanRotation rotation;
     /** Adapters on their way from the store to all engines, in this round. */
-    int fetches = 0;
+    int fetchesInFlight = 0;
     /**
      * Rows told, of all engines together. Counted for each engine, an engine that starts again under its id would begin at one, and all
      * nodes would take its rows for older ones than those of its former start: they send to copies that are gone until the count has caught
      * up.
      */
-    std::uint64_t rowsTold = 0;
+    std::uint64_t lastSequence = 0;
 
     Private(AdapterPlanLimits limits, FencingToken fence, AdapterLoadEstimator &loads)
         : limits(limits)
@@ -99,65 +99,65 @@
     {
     }
 
-    bool isOurTurn(const PendingAdapter &pending, Time now) const;
-    void takeOwn(Engine &engine, const PlannedEngine &planned, const ResidencyTable &residencies, Time now) const;
-    void takeForeign(Engine &engine, const PlannedEngine &planned, const ResidencyTable &residencies, Time now) const;
-    double inFetches(double count) const;
+    bool isInRotation(const PendingAdapter &pending, Time now) const;
+    void updateOwnEngine(Engine &engine, const PlannedEngine &planned, const ResidencyTable &residencies, Time now) const;
+    void updateForeignEngine(Engine &engine, const PlannedEngine &planned, const ResidencyTable &residencies, Time now) const;
+    double fetchTimeMs(double count) const;
     void beginRound(Time now);
-    static bool isUnderWay(const Copy &copy);
-    static bool isInPlace(const Copy &copy);
-    static bool isDropped(OrderAnswer answer);
-    static int loadsUnderWay(const Engine &engine);
-    static bool hasOverfullPlaces(const Engine &engine);
+    static bool isInFlight(const Copy &copy);
+    static bool isLoaded(const Copy &copy);
+    static bool isLoadRejected(OrderAnswer answer);
+    static int loadsInFlight(const Engine &engine);
+    static bool mayExceedSlots(const Engine &engine);
     static bool holdsModel(const Engine &engine, const BaseModelId &model);
     AdapterVersion newestVersion(const AdapterRef &adapter) const;
 
     std::optional<AdapterRef> victim(const Engine &engine, Time now) const;
-    const std::optional<AdapterRef> &firstToYield(Engine &engine, Time now) const;
-    const UpstreamId *homeOf(const AdapterRef &adapter, Time now) const;
-    std::optional<double> costOfPlace(Engine &engine, const AdapterRef &adapter, Time now) const;
-    static bool isOut(const Engine &engine, Time now);
-    double waitAt(const Engine &engine) const;
+    const std::optional<AdapterRef> &evictionCandidate(Engine &engine, Time now) const;
+    const UpstreamId *preferredEngineOf(const AdapterRef &adapter, Time now) const;
+    std::optional<double> placementCost(Engine &engine, const AdapterRef &adapter, Time now) const;
+    static bool isUnavailable(const Engine &engine, Time now);
+    double expectedWaitMs(const Engine &engine) const;
     void place(const PendingAdapter &pending, bool isReady, Time now, std::vector<PlanAction> &actions);
     void beginLoad(const UpstreamId &id, Engine &engine, const AdapterRef &adapter, Time now, std::vector<PlanAction> &actions);
     void verify(const AdapterRef &adapter, Time now);
-    void serveWants(Time now, std::vector<PlanAction> &actions);
-    void askAgain(Time now, std::vector<PlanAction> &actions);
-    void replaceOld(Time now);
+    void servePendingAdapters(Time now, std::vector<PlanAction> &actions);
+    void repeatOrders(Time now, std::vector<PlanAction> &actions);
+    void reloadOutdated(Time now);
     void loadModels(Time now, std::vector<PlanAction> &actions);
-    void askReports(Time now, std::vector<PlanAction> &actions);
+    void pollReports(Time now, std::vector<PlanAction> &actions);
     void announce(std::vector<PlanAction> &actions);
     EngineOrder loadOrder(const UpstreamId &id, const AdapterRef &adapter) const;
-    static EngineOrder dropOrder(const UpstreamId &id, const AdapterRef &adapter);
-    void takeModels(Engine &engine, const EngineReport &report, Time askedAt) const;
-    void takeCopies(Engine &engine, const EngineReport &report, Time askedAt) const;
+    static EngineOrder unloadOrder(const UpstreamId &id, const AdapterRef &adapter);
+    void updateModels(Engine &engine, const EngineReport &report, Time polledAt) const;
+    void updateCopies(Engine &engine, const EngineReport &report, Time polledAt) const;
 };
 
-bool AdapterPlan::Private::isUnderWay(const Copy &copy)
+bool AdapterPlan::Private::isInFlight(const Copy &copy)
 {
     return copy.state == CopyState::Ordered || copy.state == CopyState::Loading;
 }
 
-bool AdapterPlan::Private::isInPlace(const Copy &copy)
+bool AdapterPlan::Private::isLoaded(const Copy &copy)
 {
-    return copy.state == CopyState::Ready || copy.state == CopyState::Checking;
+    return copy.state == CopyState::Ready || copy.state == CopyState::Verifying;
 }
 
-int AdapterPlan::Private::loadsUnderWay(const Engine &engine)
+int AdapterPlan::Private::loadsInFlight(const Engine &engine)
 {
     return static_cast<int>(
-        std::count_if(engine.copies.begin(), engine.copies.end(), [](const auto &entry) { return isUnderWay(entry.second); }));
+        std::count_if(engine.copies.begin(), engine.copies.end(), [](const auto &entry) { return isInFlight(entry.second); }));
 }
 
 // An engine that is ordered beyond its places crashes. What the plan counts is never less than what stands there, so an order to load, also
 // one that only asks whether a copy is still there, is safe as long as the count fits.
-bool AdapterPlan::Private::hasOverfullPlaces(const Engine &engine)
+bool AdapterPlan::Private::mayExceedSlots(const Engine &engine)
 {
-    return !engine.isReported || static_cast<int>(engine.copies.size()) > engine.planned.spec->adapterSlots;
+    return !engine.hasReport || static_cast<int>(engine.copies.size()) > engine.planned.spec->adapterSlots;
 }
 
 // What so many fetches take, ms.
-double AdapterPlan::Private::inFetches(double count) const
+double AdapterPlan::Private::fetchTimeMs(double count) const
 {
     return count * static_cast<double>(loads.minFetchTime().milliseconds());
 }
@@ -165,11 +165,11 @@
 void AdapterPlan::Private::beginRound(Time now)
 {
     demand.refresh(now);
-    fetches = 0;
+    fetchesInFlight = 0;
     for (auto &[id, engine] : engines) {
-        fetches += static_cast<int>(std::count_if(engine.copies.begin(), engine.copies.end(),
-            [](const auto &entry) { return isUnderWay(entry.second) && !entry.second.isCached; }));
-        engine.firstToYield.reset();
+        fetchesInFlight += static_cast<int>(std::count_if(engine.copies.begin(), engine.copies.end(),
+            [](const auto &entry) { return isInFlight(entry.second) && !entry.second.isCached; }));
+        engine.evictionCandidate.reset();
     }
 }
 
@@ -185,12 +185,12 @@
 }
 
 // A crashed engine stays listed for some seconds, with its copies; requests that wait for them wait for nothing.
-bool AdapterPlan::Private::isOut(const Engine &engine, Time now)
+bool AdapterPlan::Private::isUnavailable(const Engine &engine, Time now)
 {
-    return now < engine.downUntil || !engine.planned.isReachable || engine.planned.share <= 0;
+    return now < engine.unresponsiveUntil || !engine.planned.isReachable || engine.planned.share <= 0;
 }
 
-double AdapterPlan::Private::waitAt(const Engine &engine) const
+double AdapterPlan::Private::expectedWaitMs(const Engine &engine) const
 {
     return engine.planned.pendingTokens / limits.promptTokensPerMs + engine.planned.running * limits.runningCostMs;
 }
@@ -200,7 +200,7 @@
     std::optional<AdapterRef> least;
     double leastValue = std::numeric_limits<double>::max();
     for (const auto &[adapter, copy] : engine.copies) {
-        if (copy.state != CopyState::Ready || now - copy.since < limits.minimumStay || demand.isUsed(engine.id, adapter)) {
+        if (copy.state != CopyState::Ready || now - copy.since < limits.minResidenceTime || demand.isUsed(engine.id, adapter)) {
             continue;
         }
         const double value = demand.popularity(adapter, now);
@@ -213,34 +213,34 @@
 }
 
 // Each want is weighed against each engine; without this, each engine's copies would be gone through once for each want.
-const std::optional<AdapterRef> &AdapterPlan::Private::firstToYield(Engine &engine, Time now) const
+const std::optional<AdapterRef> &AdapterPlan::Private::evictionCandidate(Engine &engine, Time now) const
 {
-    if (!engine.firstToYield) {
-        engine.firstToYield = victim(engine, now);
+    if (!engine.evictionCandidate) {
+        engine.evictionCandidate = victim(engine, now);
     }
-    return *engine.firstToYield;
+    return *engine.evictionCandidate;
 }
 
 // Empty when the engine cannot take it now.
-std::optional<double> AdapterPlan::Private::costOfPlace(Engine &engine, const AdapterRef &adapter, Time now) const
+std::optional<double> AdapterPlan::Private::placementCost(Engine &engine, const AdapterRef &adapter, Time now) const
 {
-    const bool isBarred = isOut(engine, now) || !engine.isReported || !engine.planned.hasHolder || engine.planned.spec == nullptr
+    const bool isExcluded = isUnavailable(engine, now) || !engine.hasReport || !engine.planned.hasHolder || engine.planned.spec == nullptr
         || engine.copies.contains(adapter);
-    if (isBarred || !holdsModel(engine, adapter.model) || loadsUnderWay(engine) >= limits.loadsAtOnceOfEngine) {
+    if (isExcluded || !holdsModel(engine, adapter.model) || loadsInFlight(engine) >= limits.maxLoadsPerEngine) {
         return std::nullopt;
     }
-    double cost =
-        waitAt(engine) / std::max(engine.planned.share, 0.1) - loads.cacheHitProbability(engine.id, adapter) * inFetches(limits.cachedGain);
+    double cost = expectedWaitMs(engine) / std::max(engine.planned.share, 0.1)
+        - loads.cacheHitProbability(engine.id, adapter) * fetchTimeMs(limits.cachedGain);
     if (static_cast<int>(engine.copies.size()) < engine.planned.spec->adapterSlots) {
         // Free places are filled evenly: an engine with few copies gets few requests.
         return cost
-            + inFetches(limits.evictionCost) * static_cast<double>(engine.copies.size()) / std::max(engine.planned.spec->adapterSlots, 1);
+            + fetchTimeMs(limits.evictionCost) * static_cast<double>(engine.copies.size()) / std::max(engine.planned.spec->adapterSlots, 1);
     }
-    const auto &least = firstToYield(engine, now);
+    const auto &least = evictionCandidate(engine, now);
     if (!least) {
         return std::nullopt;
     }
-    return cost + inFetches(limits.evictionCost) * (1 + demand.popularity(*least, now));
+    return cost + fetchTimeMs(limits.evictionCost) * (1 + demand.popularity(*least, now));
 }
 
 EngineOrder AdapterPlan::Private::loadOrder(const UpstreamId &id, const AdapterRef &adapter) const
@@ -248,7 +248,7 @@
     return EngineOrder { EngineOrder::Kind::Load, adapter.model, adapter.adapter, newestVersion(adapter), id };
 }
 
-EngineOrder AdapterPlan::Private::dropOrder(const UpstreamId &id, const AdapterRef &adapter)
+EngineOrder AdapterPlan::Private::unloadOrder(const UpstreamId &id, const AdapterRef &adapter)
 {
     return EngineOrder { EngineOrder::Kind::Unload, adapter.model, adapter.adapter, {}, id };
 }
@@ -261,47 +261,47 @@
     copy.isCached = loads.isExpectedCached(engine.id, adapter);
     copy.orderedAt = now;
     engine.isChanged = true;
-    fetches += copy.isCached ? 0 : 1;
+    fetchesInFlight += copy.isCached ? 0 : 1;
     actions.emplace_back(SendOrder { loadOrder(id, adapter) });
 }
 
 // The engine where all plans would rather have the adapter, now and after a restart of every node. Without it nobody knows then which
 // engine has what at hand, and each adapter is fetched again to another place.
-const UpstreamId *AdapterPlan::Private::homeOf(const AdapterRef &adapter, Time now) const
+const UpstreamId *AdapterPlan::Private::preferredEngineOf(const AdapterRef &adapter, Time now) const
 {
     const std::uint64_t adapterHash = stableHash(adapter.model.value(), adapter.adapter.value());
-    const UpstreamId *home = nullptr;
+    const UpstreamId *preferred = nullptr;
     std::uint64_t highest = 0;
     for (const auto &[id, engine] : engines) {
         const std::uint64_t score = mixHashes(adapterHash, engine.idHash);
-        if (!isOut(engine, now) && holdsModel(engine, adapter.model) && (home == nullptr || score > highest)) {
-            home = &id;
+        if (!isUnavailable(engine, now) && holdsModel(engine, adapter.model) && (preferred == nullptr || score > highest)) {
+            preferred = &id;
             highest = score;
         }
     }
-    return home;
+    return preferred;
 }
 
 // @p isReady: copies stand somewhere, so that this would be a further one.
 void AdapterPlan::Private::place(const PendingAdapter &pending, bool isReady, Time now, std::vector<PlanAction> &actions)
 {
-    const bool isStoreBusy = fetches >= loads.maxConcurrentFetches();
+    const bool isStoreBusy = fetchesInFlight >= loads.maxConcurrentFetches();
     const AdapterRef &adapter = pending.adapter;
     // All plans see nearly the same; so the plan whose engine is the best of all acts, and the others leave it to that one.
-    const bool isOnlyOwn = isOurTurn(pending, now);
-    const UpstreamId *home = homeOf(adapter, now);
+    const bool isOnlyOwn = isInRotation(pending, now);
+    const UpstreamId *preferred = preferredEngineOf(adapter, now);
     Engine *best = nullptr;
     UpstreamId bestId;
     double bestCost = std::numeric_limits<double>::max();
-    double presentWait = std::numeric_limits<double>::max();
+    double currentWait = std::numeric_limits<double>::max();
     for (auto &[id, engine] : engines) {
-        if (engine.copies.contains(adapter) && !isOut(engine, now)) {
-            presentWait = std::min(presentWait, waitAt(engine));
+        if (engine.copies.contains(adapter) && !isUnavailable(engine, now)) {
+            currentWait = std::min(currentWait, expectedWaitMs(engine));
         }
-        const bool isBarred = (isOnlyOwn && !engine.planned.isOwn) || (isStoreBusy && !loads.isExpectedCached(engine.id, adapter));
-        auto cost = isBarred ? std::nullopt : costOfPlace(engine, adapter, now);
-        if (cost && home != nullptr && id == *home) {
-            *cost -= inFetches(limits.homeGain);
+        const bool isExcluded = (isOnlyOwn && !engine.planned.isOwn) || (isStoreBusy && !loads.isExpectedCached(engine.id, adapter));
+        auto cost = isExcluded ? std::nullopt : placementCost(engine, adapter, now);
+        if (cost && preferred != nullptr && id == *preferred) {
+            *cost -= fetchTimeMs(limits.preferredEngineGain);
         }
         if (cost && *cost < bestCost) {
             best = &engine;
@@ -309,7 +309,7 @@
             bestCost = *cost;
         }
     }
-    if (best == nullptr || !best->planned.isOwn || (isReady && bestCost + inFetches(limits.crowdedGain) > presentWait)) {
+    if (best == nullptr || !best->planned.isOwn || (isReady && bestCost + fetchTimeMs(limits.extraCopyGain) > currentWait)) {
         return;
     }
     if (static_cast<int>(best->copies.size()) < best->planned.spec->adapterSlots) {
@@ -317,15 +317,15 @@
         return;
     }
     // The place is free once the engine says so; the want is still there then.
-    const AdapterRef least = *firstToYield(*best, now);
-    best->firstToYield.reset();
+    const AdapterRef least = *evictionCandidate(*best, now);
+    best->evictionCandidate.reset();
     Copy &copy = best->copies[least];
-    copy.state = CopyState::Dropping;
+    copy.state = CopyState::Unloading;
     copy.since = now;
-    copy.askAt = Time::never();
-    copy.isAsked = true;
+    copy.nextPollAt = Time::never();
+    copy.hasOrderInFlight = true;
     best->isChanged = true;
-    actions.emplace_back(SendOrder { dropOrder(bestId, least) });
+    actions.emplace_back(SendOrder { unloadOrder(bestId, least) });
 }
 
 // Some node wants an adapter that should be in place: it does not know yet, or the engine lost it. The engine is asked.
@@ -334,28 +334,28 @@
     for (auto &[id, engine] : engines) {
         const auto at = engine.copies.find(adapter);
         const bool isReady = at != engine.copies.end() && at->second.state == CopyState::Ready;
-        if (engine.planned.isOwn && isReady && now - at->second.since > limits.askAgain) {
-            at->second.state = CopyState::Checking;
-            at->second.askAt = now;
+        if (engine.planned.isOwn && isReady && now - at->second.since > limits.retryDelay) {
+            at->second.state = CopyState::Verifying;
+            at->second.nextPollAt = now;
         }
     }
 }
 
-void AdapterPlan::Private::serveWants(Time now, std::vector<PlanAction> &actions)
+void AdapterPlan::Private::servePendingAdapters(Time now, std::vector<PlanAction> &actions)
 {
     std::vector<PendingAdapter> pendingAdapters = demand.pendingAdapters();
     sortPendingAdapters(pendingAdapters, {}, loads.firstPollDelay(false), now);
     for (const PendingAdapter &pending : pendingAdapters) {
-        bool isBeingSeenTo = false;
+        bool isBeingHandled = false;
         bool isReady = false;
         for (const auto &[id, engine] : engines) {
             const auto at = engine.copies.find(pending.adapter);
-            if (at != engine.copies.end() && !isOut(engine, now)) {
-                isBeingSeenTo = isBeingSeenTo || isUnderWay(at->second) || at->second.state == CopyState::Checking;
+            if (at != engine.copies.end() && !isUnavailable(engine, now)) {
+                isBeingHandled = isBeingHandled || isInFlight(at->second) || at->second.state == CopyState::Verifying;
                 isReady = isReady || at->second.state == CopyState::Ready;
             }
         }
-        if (isBeingSeenTo) {
+        if (isBeingHandled) {
             continue;
         }
         if (isReady && !pending.hasOverloadedCopies) {
@@ -366,37 +366,37 @@
     }
 }
 
-void AdapterPlan::Private::askAgain(Time now, std::vector<PlanAction> &actions)
+void AdapterPlan::Private::repeatOrders(Time now, std::vector<PlanAction> &actions)
 {
     for (auto &[id, engine] : engines) {
-        if (!engine.planned.isOwn || engine.planned.spec == nullptr || hasOverfullPlaces(engine)) {
+        if (!engine.planned.isOwn || engine.planned.spec == nullptr || mayExceedSlots(engine)) {
             continue;
         }
         for (auto &[adapter, copy] : engine.copies) {
-            if (copy.isAsked || now < copy.askAt) {
+            if (copy.hasOrderInFlight || now < copy.nextPollAt) {
                 continue;
             }
-            if (copy.state == CopyState::Loading || copy.state == CopyState::Checking) {
-                copy.isAsked = true;
+            if (copy.state == CopyState::Loading || copy.state == CopyState::Verifying) {
+                copy.hasOrderInFlight = true;
                 actions.emplace_back(SendOrder { loadOrder(id, adapter) });
-            } else if (copy.state == CopyState::Dropping) {
-                copy.isAsked = true;
-                actions.emplace_back(SendOrder { dropOrder(id, adapter) });
+            } else if (copy.state == CopyState::Unloading) {
+                copy.hasOrderInFlight = true;
+                actions.emplace_back(SendOrder { unloadOrder(id, adapter) });
             }
         }
     }
 }
 
 // A want that is still there after a turn was left by the plan whose engine looked best from here.
-bool AdapterPlan::Private::isOurTurn(const PendingAdapter &pending, Time now) const
+bool AdapterPlan::Private::isInRotation(const PendingAdapter &pending, Time now) const
 {
-    const auto rounds = static_cast<std::uint64_t>((now - pending.since).milliseconds() / limits.turnTime.milliseconds());
-    const std::uint64_t home = stableHash(pending.adapter.model.value(), pending.adapter.adapter.value());
-    return rounds > 0 && (home + rounds) % std::max<std::size_t>(turn.count, 1) == turn.index;
+    const auto rounds = static_cast<std::uint64_t>((now - pending.since).milliseconds() / limits.rotationInterval.milliseconds());
+    const std::uint64_t preferred = stableHash(pending.adapter.model.value(), pending.adapter.adapter.value());
+    return rounds > 0 && (preferred + rounds) % std::max<std::size_t>(rotation.count, 1) == rotation.index;
 }
 
 // Copies of an older version are loaded anew in place; the engine waits for their runs.
-void AdapterPlan::Private::replaceOld(Time now)
+void AdapterPlan::Private::reloadOutdated(Time now)
 {
     for (auto &[id, engine] : engines) {
         if (!engine.planned.isOwn) {
@@ -407,7 +407,7 @@
             if (copy.state == CopyState::Ready && !newest.isEmpty() && copy.version != newest) {
                 copy.state = CopyState::Loading;
                 copy.since = now;
-                copy.askAt = now;
+                copy.nextPollAt = now;
                 engine.isChanged = true;
             }
         }
@@ -416,30 +416,30 @@
 
 void AdapterPlan::Private::loadModels(Time now, std::vector<PlanAction> &actions)
 {
-    int underWay = 0;
+    int inFlight = 0;
     for (auto &[id, engine] : engines) {
-        underWay += static_cast<int>(engine.loadingModels.size());
+        inFlight += static_cast<int>(engine.loadingModels.size());
     }
     for (auto &[id, engine] : engines) {
         if (!engine.planned.isOwn || engine.planned.spec == nullptr || !engine.models.empty() || !engine.loadingModels.empty()) {
             continue;
         }
-        if (underWay >= limits.modelLoadsAtOnce || engine.planned.spec->models.empty()) {
+        if (inFlight >= limits.maxModelLoads || engine.planned.spec->models.empty()) {
             continue;
         }
         const BaseModelId &model = engine.planned.spec->models.front().id;
         engine.loadingModels.emplace(model, now);
-        ++underWay;
+        ++inFlight;
         actions.emplace_back(SendOrder { EngineOrder { EngineOrder::Kind::Load, model, {}, {}, id } });
     }
 }
 
-void AdapterPlan::Private::askReports(Time now, std::vector<PlanAction> &actions)
+void AdapterPlan::Private::pollReports(Time now, std::vector<PlanAction> &actions)
 {
     for (auto &[id, engine] : engines) {
         const Duration interval = engine.loadingModels.empty() ? limits.reportInterval : limits.reportInterval - limits.reportLag;
-        if (engine.planned.isOwn && engine.planned.spec != nullptr && now - engine.reportAskedAt >= interval) {
-            engine.reportAskedAt = now;
+        if (engine.planned.isOwn && engine.planned.spec != nullptr && now - engine.reportPolledAt >= interval) {
+            engine.reportPolledAt = now;
             actions.emplace_back(RequestEngineReport { id });
         }
     }
@@ -450,14 +450,14 @@
     for (auto &[id, engine] : engines) {
         // Before its report the plan knows of a part at most. Told as the whole, it would make all nodes forget the other copies, and after
         // a restart of the whole fleet callers would wait for adapters that stand where the engines' own entries say.
-        if (!engine.planned.isOwn || !engine.isChanged || engine.planned.spec == nullptr || !engine.isReported) {
+        if (!engine.planned.isOwn || !engine.isChanged || engine.planned.spec == nullptr || !engine.hasReport) {
             continue;
         }
         engine.isChanged = false;
-        EngineResidency residency { id, engine.startedAt, fence, ++rowsTold, {} };
+        EngineResidency residency { id, engine.startedAt, fence, ++lastSequence, {} };
         for (const auto &[adapter, copy] : engine.copies) {
-            if (copy.state != CopyState::Dropping) {
-                residency.copies.push_back(AdapterCopy { adapter.model, adapter.adapter, copy.version, isInPlace(copy) });
+            if (copy.state != CopyState::Unloading) {
+                residency.copies.push_back(AdapterCopy { adapter.model, adapter.adapter, copy.version, isLoaded(copy) });
             }
         }
         actions.emplace_back(AnnounceResidency { std::move(residency) });
@@ -481,9 +481,9 @@
     for (const auto &[id, planned] : present) {
         Engine &engine = d->engines[id];
         if (planned->isOwn) {
-            d->takeOwn(engine, *planned, residencies, now);
+            d->updateOwnEngine(engine, *planned, residencies, now);
         } else {
-            d->takeForeign(engine, *planned, residencies, now);
+            d->updateForeignEngine(engine, *planned, residencies, now);
         }
         if (engine.idHash == 0) {
             engine.idHash = stableHash(id.value());
@@ -496,13 +496,13 @@
     }
 }
 
-void AdapterPlan::Private::takeOwn(Engine &engine, const PlannedEngine &planned, const ResidencyTable &residencies, Time now) const
+void AdapterPlan::Private::updateOwnEngine(Engine &engine, const PlannedEngine &planned, const ResidencyTable &residencies, Time now) const
 {
     if (!engine.id.isEmpty() && engine.planned.isOwn && engine.startedAt == planned.record->startedAt) {
         return;
     }
     engine = Engine {};
-    engine.reportAskedAt = now - limits.reportInterval;
+    engine.reportPolledAt = now - limits.reportInterval;
     for (const HeldModel &held : planned.record->models) {
         engine.models.push_back(held.id);
         for (const AdapterKey &key : held.adapters) {
@@ -518,9 +518,10 @@
     }
 }
 
-void AdapterPlan::Private::takeForeign(Engine &engine, const PlannedEngine &planned, const ResidencyTable &residencies, Time now) const
+void AdapterPlan::Private::updateForeignEngine(
+    Engine &engine, const PlannedEngine &planned, const ResidencyTable &residencies, Time now) const
 {
-    engine.isReported = true;
+    engine.hasReport = true;
     engine.models.clear();
     for (const HeldModel &held : planned.record->models) {
         engine.models.push_back(held.id);
@@ -528,27 +529,27 @@
     const EngineResidency *residency = residencies.residency(*planned.record);
     const auto version =
         residency != nullptr ? std::pair(residency->fence, residency->sequence) : std::pair(FencingToken(), std::uint64_t(0));
-    if (version == engine.rowTaken && engine.startedAt == planned.record->startedAt) {
+    if (version == engine.residencyVersion && engine.startedAt == planned.record->startedAt) {
         return;
     }
-    engine.rowTaken = version;
-    const std::map<AdapterRef, Copy> former = std::move(engine.copies);
+    engine.residencyVersion = version;
+    const std::map<AdapterRef, Copy> previous = std::move(engine.copies);
     engine.copies.clear();
     if (residency != nullptr) {
         for (const AdapterCopy &copy : residency->copies) {
             const AdapterRef adapter { copy.model, copy.adapter };
-            const auto known = former.find(adapter);
-            const Time since = known != former.end() ? known->second.since : now;
-            const bool isExpectedCached = known != former.end() ? known->second.isCached : loads.isExpectedCached(engine.id, adapter);
+            const auto known = previous.find(adapter);
+            const Time since = known != previous.end() ? known->second.since : now;
+            const bool isExpectedCached = known != previous.end() ? known->second.isCached : loads.isExpectedCached(engine.id, adapter);
             engine.copies[adapter] =
                 Copy { copy.version, copy.isReady ? CopyState::Ready : CopyState::Loading, since, now, now, false, isExpectedCached };
         }
     }
 }
 
-void AdapterPlan::setRotation(PlanRotation turn)
+void AdapterPlan::setRotation(PlanRotation rotation)
 {
-    d->turn = turn;
+    d->rotation = rotation;
 }
 
 void AdapterPlan::setVersion(const AdapterRef &adapter, const AdapterVersion &version)
@@ -567,7 +568,7 @@
 }
 
 // The engine has nothing of what it was ordered to load.
-bool AdapterPlan::Private::isDropped(OrderAnswer answer)
+bool AdapterPlan::Private::isLoadRejected(OrderAnswer answer)
 {
     return answer == OrderAnswer::Fenced || answer == OrderAnswer::WrongEngine || answer == OrderAnswer::Refused;
 }
@@ -579,7 +580,7 @@
         return;
     }
     Engine &engine = at->second;
-    engine.downUntil = answer == OrderAnswer::Unknown ? now + d->limits.downTime : Time();
+    engine.unresponsiveUntil = answer == OrderAnswer::Unknown ? now + d->limits.unresponsiveTime : Time();
     if (order.adapter.isEmpty()) {
         if (answer != OrderAnswer::Accepted && answer != OrderAnswer::Busy) {
             engine.loadingModels.erase(order.model);
@@ -595,14 +596,15 @@
         return;
     }
     Copy &copy = found->second;
-    copy.isAsked = false;
+    copy.hasOrderInFlight = false;
     // A load that is still under way is no news.
-    engine.isChanged = engine.isChanged || copy.state != CopyState::Loading || answer == OrderAnswer::Done || Private::isDropped(answer);
-    copy.answeredAt = now;
+    engine.isChanged =
+        engine.isChanged || copy.state != CopyState::Loading || answer == OrderAnswer::Done || Private::isLoadRejected(answer);
+    copy.lastAnswerAt = now;
     if (order.kind == EngineOrder::Kind::Unload) {
         if (answer == OrderAnswer::Accepted) {
             // It waits for its runs and takes its place until they have ended.
-            copy.askAt = now + d->limits.askAgain;
+            copy.nextPollAt = now + d->limits.retryDelay;
         } else if (answer == OrderAnswer::Done) {
             engine.droppedAt[adapter] = now;
             engine.copies.erase(found);
@@ -624,7 +626,7 @@
         copy.version = order.version.isEmpty() ? copy.version : order.version;
         break;
     case OrderAnswer::Accepted:
-        if (copy.state == CopyState::Checking) {
+        if (copy.state == CopyState::Verifying) {
             // It was gone; the question has become the order for it.
             copy.orderedAt = now;
             copy.unfinishedPolls = 0;
@@ -632,10 +634,10 @@
         if (copy.state != CopyState::Loading) {
             copy.state = CopyState::Loading;
             copy.since = now;
-            copy.askAt = copy.orderedAt.value_or(now) + d->loads.firstPollDelay(copy.isCached);
+            copy.nextPollAt = copy.orderedAt.value_or(now) + d->loads.firstPollDelay(copy.isCached);
         } else {
             const Duration elapsed = now - copy.orderedAt.value_or(copy.since);
-            copy.askAt = now + d->loads.nextPollDelay(elapsed, ++copy.unfinishedPolls, copy.isCached);
+            copy.nextPollAt = now + d->loads.nextPollDelay(elapsed, ++copy.unfinishedPolls, copy.isCached);
         }
         break;
     case OrderAnswer::Busy:
@@ -645,7 +647,7 @@
             copy.state = CopyState::Loading;
             copy.since = now;
         }
-        copy.askAt = answer == OrderAnswer::Busy ? now + d->limits.askAgain : now + d->limits.askAfterSilence;
+        copy.nextPollAt = answer == OrderAnswer::Busy ? now + d->limits.retryDelay : now + d->limits.noResponseRetryDelay;
         break;
     case OrderAnswer::Fenced:
     case OrderAnswer::WrongEngine:
@@ -655,19 +657,19 @@
     }
 }
 
-void AdapterPlan::onReport(const UpstreamId &id, const EngineReport &report, Time askedAt)
+void AdapterPlan::onReport(const UpstreamId &id, const EngineReport &report, Time polledAt)
 {
     const auto at = d->engines.find(id);
     if (at == d->engines.end()) {
         return;
     }
     Engine &engine = at->second;
-    engine.isReported = true;
-    d->takeModels(engine, report, askedAt);
-    d->takeCopies(engine, report, askedAt);
+    engine.hasReport = true;
+    d->updateModels(engine, report, polledAt);
+    d->updateCopies(engine, report, polledAt);
 }
 
-void AdapterPlan::Private::takeModels(Engine &engine, const EngineReport &report, Time askedAt) const
+void AdapterPlan::Private::updateModels(Engine &engine, const EngineReport &report, Time polledAt) const
 {
     engine.models.clear();
     for (const HeldModel &model : report.models) {
@@ -675,10 +677,10 @@
         engine.loadingModels.erase(model.id);
     }
     std::erase_if(engine.loadingModels,
-        [this, askedAt, &report](const auto &entry) { return !report.isBusy && askedAt - entry.second > limits.loadTimeout; });
+        [this, polledAt, &report](const auto &entry) { return !report.isBusy && polledAt - entry.second > limits.loadTimeout; });
 }
 
-void AdapterPlan::Private::takeCopies(Engine &engine, const EngineReport &report, Time askedAt) const
+void AdapterPlan::Private::updateCopies(Engine &engine, const EngineReport &report, Time polledAt) const
 {
     std::map<AdapterRef, AdapterCopy> reported;
     for (const HeldModel &model : report.models) {
@@ -689,15 +691,15 @@
             reported.emplace(AdapterRef { model.id, key.id }, AdapterCopy { model.id, key.id, key.version, false });
         }
     }
-    const Time lagged = askedAt - limits.reportLag;
-    std::erase_if(engine.droppedAt, [lagged](const auto &entry) { return entry.second < lagged; });
+    const Time cutoff = polledAt - limits.reportLag;
+    std::erase_if(engine.droppedAt, [cutoff](const auto &entry) { return entry.second < cutoff; });
     for (const auto &[adapter, copy] : reported) {
         const auto known = engine.copies.find(adapter);
         if (known == engine.copies.end()) {
             if (!engine.droppedAt.contains(adapter)) {
                 // Of a former holder's order. It takes a place all the same.
                 const CopyState state = copy.isReady ? CopyState::Ready : CopyState::Loading;
-                engine.copies[adapter] = Copy { copy.version, state, askedAt, askedAt, askedAt, false };
+                engine.copies[adapter] = Copy { copy.version, state, polledAt, polledAt, polledAt, false };
                 engine.isChanged = true;
             }
         } else if (copy.isReady && known->second.version.isEmpty()) {
@@ -705,19 +707,19 @@
             engine.isChanged = true;
         }
     }
-    const auto isGone = [&reported, lagged](const auto &entry) {
-        return !entry.second.isAsked && entry.second.answeredAt < lagged && !reported.contains(entry.first);
+    const auto isGone = [&reported, cutoff](const auto &entry) {
+        return !entry.second.hasOrderInFlight && entry.second.lastAnswerAt < cutoff && !reported.contains(entry.first);
     };
     engine.isChanged = std::erase_if(engine.copies, isGone) > 0 || engine.isChanged;
 }
 
 Time AdapterPlan::nextDecisionTime(Time now) const
 {
-    Time next = now + (d->demand.pendingAdapters().empty() ? d->limits.lookUnasked : d->limits.lookWanted);
+    Time next = now + (d->demand.pendingAdapters().empty() ? d->limits.idleDecisionInterval : d->limits.pendingDecisionInterval);
     for (const auto &[id, engine] : d->engines) {
         for (const auto &[adapter, copy] : engine.copies) {
-            if (engine.planned.isOwn && !copy.isAsked && copy.state != CopyState::Ready) {
-                next = std::min(next, copy.askAt);
+            if (engine.planned.isOwn && !copy.hasOrderInFlight && copy.state != CopyState::Ready) {
+                next = std::min(next, copy.nextPollAt);
             }
         }
     }
@@ -728,11 +730,11 @@
 {
     std::vector<PlanAction> actions;
     d->beginRound(now);
-    d->replaceOld(now);
+    d->reloadOutdated(now);
     d->loadModels(now, actions);
-    d->serveWants(now, actions);
-    d->askAgain(now, actions);
-    d->askReports(now, actions);
+    d->servePendingAdapters(now, actions);
+    d->repeatOrders(now, actions);
+    d->pollReports(now, actions);
     d->announce(actions);
     return actions;
 }
--- a/coordination/adapterplan.h
+++ b/coordination/adapterplan.h
@@ -28,29 +28,29 @@
 struct AdapterPlanLimits
 {
     /** A want that no plan has met for so long goes round among the plans, each having it for this time. */
-    Duration turnTime { 60 };
+    Duration rotationInterval { 60 };
     /** Between two looks while something is wanted that cannot be loaded yet, and while nothing is. */
-    Duration lookWanted { 25 };
-    Duration lookUnasked { 100 };
+    Duration pendingDecisionInterval { 25 };
+    Duration idleDecisionInterval { 100 };
     /** Adapters on their way to one engine; the users' engines take no more. */
-    int loadsAtOnceOfEngine = 4;
+    int maxLoadsPerEngine = 4;
     /** Before an engine that is busy, or still runs what is to be dropped, is asked again. */
-    Duration askAgain { 50 };
+    Duration retryDelay { 50 };
     /** After an order that had no answer: the engine may be down. */
-    Duration askAfterSilence { 400 };
+    Duration noResponseRetryDelay { 400 };
     /** An engine that left an order unanswered gets no new copies for this long, and those that it has count for nothing. */
-    Duration downTime { 1000 };
+    Duration unresponsiveTime { 1000 };
     /** A base model that is not in place after this, on an engine that works on no order, has failed to load. */
     Duration loadTimeout { 4000 };
     Duration popularityHalfLife = Duration::seconds(20);
     /** A copy stays at least so long. */
-    Duration minimumStay { 500 };
+    Duration minResidenceTime { 500 };
     /** An engine is asked for its report this often. */
     Duration reportInterval { 1000 };
     /** A report says nothing of orders younger than this: engines report late. */
     Duration reportLag { 600 };
     /** Base models on their way at once: each gets the full speed of the store. */
-    int modelLoadsAtOnce = 2;
+    int maxModelLoads = 2;
     /** Tokens of prompts that an engine reads in a millisecond, to compare work that waits with work that runs. */
     double promptTokensPerMs = 38;
     /** What one running request adds to another's wait, ms: its part of a batch step. */
@@ -63,9 +63,9 @@
      * What a load at the adapter's home is worth, in fetches: it may be at hand there without anybody knowing. Less than what is known to
      * be at hand is worth, and enough to outweigh some requests ahead.
      */
-    double homeGain = 0.6;
+    double preferredEngineGain = 0.6;
     /** What a second copy of an adapter must save of a first token's wait, in fetches. */
-    double crowdedGain = 1.2;
+    double extraCopyGain = 1.2;
 };
 
 /** Give this order; the answer goes to onOrderAnswer(). */
@@ -123,7 +123,7 @@
     /** The engines that there are now. @p residencies tells what stands at those that are new to this plan. */
     void setEngines(const std::vector<PlannedEngine> &engines, const ResidencyTable &residencies, Time now);
     /** How wants that nobody has met are dealt out among the plans of all shards. */
-    void setRotation(PlanRotation turn);
+    void setRotation(PlanRotation rotation);
     /** @p version of @p adapter is the newest. */
     void setVersion(const AdapterRef &adapter, const AdapterVersion &version);
     /** What @p node runs and waits for; replaces what it said before. */
@@ -131,8 +131,8 @@
     /** What @p node waits for now; what it runs stays as it said before. */
     void onPendingAdapters(const NodeId &node, const std::vector<AdapterUse> &pendingAdapters, Time now);
     void onOrderAnswer(const EngineOrder &order, OrderAnswer answer, Time now);
-    /** @p askedAt: when the report was asked for. */
-    void onReport(const UpstreamId &engine, const EngineReport &report, Time askedAt);
+    /** @p polledAt: when the report was asked for. */
+    void onReport(const UpstreamId &engine, const EngineReport &report, Time polledAt);
     /** What to do now; call it after each event and at nextDecisionTime(). */
     std::vector<PlanAction> decide(Time now);
     /** When to call decide() again if nothing happens before. */
