--- a/tests/coordination/testadapterplan.cpp
+++ b/tests/coordination/testadapterplan.cpp
@@ -16,10 +16,10 @@
 constexpr int Slots = 3;
 
 /** One plan over a few engines that carry its orders out after a load time and crash when they are overfull, as the users' do. */
-class PlanBench
+class PlanSimulation
 {
 public:
-    explicit PlanBench(int engines)
+    explicit PlanSimulation(int engines)
     {
         m_spec.adapterSlots = Slots;
         m_spec.models.push_back(BaseModelSpec { BaseModelId("m"), 1, 1, Duration(1900) });
@@ -95,7 +95,7 @@
         std::erase_if(m_history, [engine](const Snapshot &snapshot) { return snapshot.engine == static_cast<std::size_t>(engine); });
     }
     /** What a node that hears all rows sends to. */
-    bool isKnownToHold(int engine, const std::string &adapter) const
+    bool isAnnouncedAsLoaded(int engine, const std::string &adapter) const
     {
         const auto copy =
             m_announced.copy(m_records[static_cast<std::size_t>(engine)], AdapterRef { BaseModelId("m"), AdapterId(adapter) });
@@ -233,135 +233,135 @@
 // A request waits for an adapter that stands nowhere. It is loaded once, though the want is told again and again.
 Test(adapterplan, aWantedAdapterIsLoadedOnce)
 {
-    PlanBench bench(3);
-    bench.addPending("a");
-    bench.run(Duration(400));
-    cr_assert_eq(bench.copies("a"), 1);
-    cr_assert_eq(bench.loads(), 1);
+    PlanSimulation simulation(3);
+    simulation.addPending("a");
+    simulation.run(Duration(400));
+    cr_assert_eq(simulation.copies("a"), 1);
+    cr_assert_eq(simulation.loads(), 1);
 }
 
 // Every second other adapters are asked for than the engines hold, while reports come late and still list what was dropped. An engine that
 // is ordered beyond its places crashes, and all its requests with it.
 Test(adapterplan, changingDemandNeverOverfillsAnEngine)
 {
-    PlanBench bench(2);
+    PlanSimulation simulation(2);
     for (int round = 0; round < 60; ++round) {
-        bench.clearUses();
+        simulation.clearUses();
         for (int i = 0; i < 4; ++i) {
-            bench.addPending("a" + std::to_string((round * 3 + i) % 23));
+            simulation.addPending("a" + std::to_string((round * 3 + i) % 23));
         }
-        bench.run(Duration(330));
+        simulation.run(Duration(330));
     }
-    cr_assert_eq(bench.crashes(), 0);
-    cr_assert_gt(bench.loads(), 60);
+    cr_assert_eq(simulation.crashes(), 0);
+    cr_assert_gt(simulation.loads(), 60);
 }
 
 // An engine accepts an order to drop an adapter but waits for a run on it. Its place is not free before that run has ended.
 Test(adapterplan, aPlaceIsNotFreeWhileTheAdapterStillRuns)
 {
-    PlanBench bench(1);
+    PlanSimulation simulation(1);
     for (const char *name : { "a", "b", "c" }) {
-        bench.addPending(name);
+        simulation.addPending(name);
     }
-    bench.run(Duration(2000));
-    bench.setUnloadWaits(true);
-    bench.clearUses();
-    bench.addPending("d");
-    bench.run(Duration(2000));
-    cr_assert_eq(bench.crashes(), 0);
-    cr_assert_not(bench.holds(0, "d"));
-    bench.setUnloadWaits(false);
-    bench.run(Duration(1000));
-    cr_assert(bench.holds(0, "d"));
-    cr_assert_eq(bench.crashes(), 0);
+    simulation.run(Duration(2000));
+    simulation.setUnloadWaits(true);
+    simulation.clearUses();
+    simulation.addPending("d");
+    simulation.run(Duration(2000));
+    cr_assert_eq(simulation.crashes(), 0);
+    cr_assert_not(simulation.holds(0, "d"));
+    simulation.setUnloadWaits(false);
+    simulation.run(Duration(1000));
+    cr_assert(simulation.holds(0, "d"));
+    cr_assert_eq(simulation.crashes(), 0);
 }
 
 // An adapter that requests run on is never dropped, however little it is asked for: its callers would lose their answers in the middle.
 Test(adapterplan, anAdapterInUseIsNeverDropped)
 {
-    PlanBench bench(1);
+    PlanSimulation simulation(1);
     for (const char *name : { "a", "b", "c" }) {
-        bench.addPending(name);
+        simulation.addPending(name);
     }
-    bench.run(Duration(2000));
+    simulation.run(Duration(2000));
     for (int round = 0; round < 20; ++round) {
-        bench.clearUses();
-        bench.use("a", "e0", 0);
-        bench.addPending("x" + std::to_string(round));
-        bench.run(Duration(700));
-        cr_assert(bench.holds(0, "a"), "round %d", round);
+        simulation.clearUses();
+        simulation.use("a", "e0", 0);
+        simulation.addPending("x" + std::to_string(round));
+        simulation.run(Duration(700));
+        cr_assert(simulation.holds(0, "a"), "round %d", round);
     }
-    cr_assert_eq(bench.crashes(), 0);
+    cr_assert_eq(simulation.crashes(), 0);
 }
 
 // A burst on one adapter makes all requests wait at its one engine while the others idle. It gets a second copy where there is room.
 Test(adapterplan, aCrowdedAdapterGetsAnotherCopy)
 {
-    PlanBench bench(2);
-    bench.addPending("hot");
-    bench.run(Duration(1000));
-    cr_assert_eq(bench.copies("hot"), 1);
-    bench.setLoad(bench.holds(0, "hot") ? 0 : 1, 40'000);
-    bench.clearUses();
-    bench.addPending("hot", true);
-    bench.run(Duration(1000));
-    cr_assert_eq(bench.copies("hot"), 2);
+    PlanSimulation simulation(2);
+    simulation.addPending("hot");
+    simulation.run(Duration(1000));
+    cr_assert_eq(simulation.copies("hot"), 1);
+    simulation.setLoad(simulation.holds(0, "hot") ? 0 : 1, 40'000);
+    simulation.clearUses();
+    simulation.addPending("hot", true);
+    simulation.run(Duration(1000));
+    cr_assert_eq(simulation.copies("hot"), 2);
 }
 
 // The copies of a busy adapter are crowded, but so is every other engine. Another copy would cost a load and help nobody.
 Test(adapterplan, aCrowdedAdapterGetsNoCopyThatDoesNotHelp)
 {
-    PlanBench bench(2);
-    bench.addPending("hot");
-    bench.run(Duration(1000));
-    bench.setLoad(0, 40'000);
-    bench.setLoad(1, 40'000);
-    bench.clearUses();
-    bench.addPending("hot", true);
-    bench.run(Duration(1000));
-    cr_assert_eq(bench.copies("hot"), 1);
+    PlanSimulation simulation(2);
+    simulation.addPending("hot");
+    simulation.run(Duration(1000));
+    simulation.setLoad(0, 40'000);
+    simulation.setLoad(1, 40'000);
+    simulation.clearUses();
+    simulation.addPending("hot", true);
+    simulation.run(Duration(1000));
+    cr_assert_eq(simulation.copies("hot"), 1);
 }
 
 // Adapters that are asked for often stay, and those asked for once go, when there are more of them than places.
 Test(adapterplan, popularAdaptersStay)
 {
-    PlanBench bench(1);
+    PlanSimulation simulation(1);
     for (int round = 0; round < 20; ++round) {
-        bench.clearUses();
-        bench.addPending("hot");
-        bench.addPending("warm");
-        bench.run(Duration(400));
-        bench.clearUses();
-        bench.addPending("rare" + std::to_string(round));
-        bench.run(Duration(700));
+        simulation.clearUses();
+        simulation.addPending("hot");
+        simulation.addPending("warm");
+        simulation.run(Duration(400));
+        simulation.clearUses();
+        simulation.addPending("rare" + std::to_string(round));
+        simulation.run(Duration(700));
     }
-    cr_assert(bench.holds(0, "hot"));
-    cr_assert(bench.holds(0, "warm"));
+    cr_assert(simulation.holds(0, "hot"));
+    cr_assert(simulation.holds(0, "warm"));
 }
 
 // An engine crashes, and the store still lists it with all its adapters for seconds. Requests for them are told to wait for copies that
 // nobody can reach; instead they get another copy at once.
 Test(adapterplan, copiesAtACrashedEngineAreReplaced)
 {
-    PlanBench bench(2);
-    bench.addPending("a");
-    bench.run(Duration(1000));
-    const int first = bench.holds(0, "a") ? 0 : 1;
-    bench.setDown(first, true);
-    bench.run(Duration(500));
-    cr_assert(bench.holds(1 - first, "a"));
+    PlanSimulation simulation(2);
+    simulation.addPending("a");
+    simulation.run(Duration(1000));
+    const int first = simulation.holds(0, "a") ? 0 : 1;
+    simulation.setDown(first, true);
+    simulation.run(Duration(500));
+    cr_assert(simulation.holds(1 - first, "a"));
 }
 
 // A node that lost a row still wants an adapter that stands in its place, and the plan asks the engine whether it does. Were the copy told
 // as missing meanwhile, all other nodes would hold their requests for it back, again and again while the one node asks.
 Test(adapterplan, aCopyThatIsAskedAboutStaysInUse)
 {
-    PlanBench bench(1);
-    bench.addPending("a");
-    bench.run(Duration(1000));
+    PlanSimulation simulation(1);
+    simulation.addPending("a");
+    simulation.run(Duration(1000));
     for (int step = 0; step < 50; ++step) {
-        cr_assert(bench.isKnownToHold(0, "a"));
-        bench.run(Duration(10));
+        cr_assert(simulation.isAnnouncedAsLoaded(0, "a"));
+        simulation.run(Duration(10));
     }
 }
 
@@ -369,55 +369,56 @@
 // copies passed for usable, callers would wait for them until their patience ends although eight engines could load the adapters.
 Test(adapterplan, copiesAtAnUnreachableEngineAreReplacedByOtherPlans)
 {
-    WeightStoreBench bench(StoreFigures { 8, Duration(250), 48, 9, 8, 3 });
-    bench.runLoad(Duration::seconds(10), 100, 60, 1.0);
-    const std::vector<std::string> lost = bench.held(2);
+    WeightStoreSimulation simulation(StoreParameters { 8, Duration(250), 48, 9, 8, 3 });
+    simulation.runLoad(Duration::seconds(10), 100, 60, 1.0);
+    const std::vector<std::string> lost = simulation.held(2);
     cr_assert_geq(lost.size(), 4);
-    bench.crash(2);
-    bench.stopPlan(2);
-    bench.run(Duration(20));
-    const Time crashedAt = bench.now();
+    simulation.crash(2);
+    simulation.stopPlan(2);
+    simulation.run(Duration(20));
+    const Time crashedAt = simulation.now();
     for (const std::string &adapter : lost) {
-        bench.ask(adapter);
+        simulation.ask(adapter);
     }
-    bench.run(Duration(1500));
-    cr_assert_leq(bench.waitAt(1.0, crashedAt), 800, "the last waited %lld ms", static_cast<long long>(bench.waitAt(1.0, crashedAt)));
+    simulation.run(Duration(1500));
+    cr_assert_leq(simulation.waitPercentile(1.0, crashedAt), 800, "the last waited %lld ms",
+        static_cast<long long>(simulation.waitPercentile(1.0, crashedAt)));
 }
 
 // An engine crashes and starts again under the id that it had, without its holder losing the lease. If the rows of the new start count from
 // one again, all nodes take them for old ones: requests go to copies that are gone, or wait for copies that nobody tells of.
 Test(adapterplan, rowsOfAnEngineThatStartsAgainAreNews)
 {
-    PlanBench bench(1);
+    PlanSimulation simulation(1);
     for (const char *name : { "a", "b", "c" }) {
-        bench.addPending(name);
-        bench.run(Duration(1000));
-        bench.clearUses();
+        simulation.addPending(name);
+        simulation.run(Duration(1000));
+        simulation.clearUses();
     }
-    cr_assert(bench.isKnownToHold(0, "c"));
-    bench.restart(0);
-    bench.run(Duration(200));
-    cr_assert_not(bench.isKnownToHold(0, "c"));
-    bench.addPending("d");
-    bench.run(Duration(2000));
-    cr_assert(bench.isKnownToHold(0, "d"));
+    cr_assert(simulation.isAnnouncedAsLoaded(0, "c"));
+    simulation.restart(0);
+    simulation.run(Duration(200));
+    cr_assert_not(simulation.isAnnouncedAsLoaded(0, "c"));
+    simulation.addPending("d");
+    simulation.run(Duration(2000));
+    cr_assert(simulation.isAnnouncedAsLoaded(0, "d"));
 }
 
 // More adapters are asked for than the store bears loads at once, again and again. Were wants met in the order of their names, callers of
 // the last names would be refused for as long as the rush lasts.
 Test(adapterplan, noNameWaitsForAllOthers)
 {
-    PlanBench bench(60);
+    PlanSimulation simulation(60);
     for (int i = 0; i < 60; ++i) {
-        bench.addPending("first" + std::to_string(i));
+        simulation.addPending("first" + std::to_string(i));
     }
-    bench.run(Duration(100));
-    bench.addPending("zlast");
+    simulation.run(Duration(100));
+    simulation.addPending("zlast");
     for (int round = 0; round < 8; ++round) {
         for (int i = 0; i < 10; ++i) {
-            bench.addPending("early" + std::to_string(round * 10 + i));
+            simulation.addPending("early" + std::to_string(round * 10 + i));
         }
-        bench.run(Duration(250));
+        simulation.run(Duration(250));
     }
-    cr_assert_gt(bench.copies("zlast"), 0);
+    cr_assert_gt(simulation.copies("zlast"), 0);
 }
--- a/tests/coordination/testpendingadapterorder.cpp
+++ b/tests/coordination/testpendingadapterorder.cpp
@@ -52,8 +52,8 @@
 // to wait late by a little; the store could serve half of all in time and the rest late.
 Test(pendingadapterorder, aColdStartServesHalfOfTheCallersInTime)
 {
-    WeightStoreBench bench(StoreFigures { 24, Duration(250), 108, 12, 18, 4 });
-    bench.runLoad(Duration::seconds(6), 320, 3000, 0.9);
-    cr_assert_geq(bench.shareInTime(), 0.5, "%.2f of the callers are served in time", bench.shareInTime());
-    cr_assert_eq(bench.crashes(), 0);
+    WeightStoreSimulation simulation(StoreParameters { 24, Duration(250), 108, 12, 18, 4 });
+    simulation.runLoad(Duration::seconds(6), 320, 3000, 0.9);
+    cr_assert_geq(simulation.shareInTime(), 0.5, "%.2f of the callers are served in time", simulation.shareInTime());
+    cr_assert_eq(simulation.crashes(), 0);
 }
--- a/tests/coordination/weightstoresimulation.h
+++ b/tests/coordination/weightstoresimulation.h
@@ -33,10 +33,10 @@
 }
 
 /** The weight store and the engines of a deployment. */
-struct StoreFigures
+struct StoreParameters
 {
     /** So many fetches share the store without slowing each other down. */
-    int bearsAtOnce = 8;
+    int fullSpeedFetches = 8;
     Duration fetch { 250 };
     /** Adapters that an engine keeps at hand, those in its places included. */
     std::size_t cached = 48;
@@ -45,30 +45,30 @@
     /** Nodes that order a part of the engines each. */
     int plans = 3;
     /** What a slow node and its link add to each load before it is seen to be done. */
-    Duration lateness { 0 };
+    Duration observationDelay { 0 };
 };
 
 /**
  * Engines that fetch adapters from one store, a few nodes that plan their loads, and requests that wait for adapters. All runs on one
  * made-up clock; rows and answers arrive at once.
  */
-class WeightStoreBench
+class WeightStoreSimulation
 {
 public:
-    explicit WeightStoreBench(const StoreFigures &figures, std::uint64_t seed = 1)
-        : m_figures(figures)
+    explicit WeightStoreSimulation(const StoreParameters &parameters, std::uint64_t seed = 1)
+        : m_parameters(parameters)
         , m_random(seed)
     {
-        m_spec.adapterSlots = figures.slots;
+        m_spec.adapterSlots = parameters.slots;
         m_spec.models.push_back(BaseModelSpec { BaseModelId("m"), 1, 1, Duration(1900) });
-        m_records.resize(static_cast<std::size_t>(figures.engines));
+        m_records.resize(static_cast<std::size_t>(parameters.engines));
         m_engines.resize(m_records.size());
         for (std::size_t i = 0; i < m_records.size(); ++i) {
             m_records[i].id = UpstreamId("e" + std::to_string(i));
             m_records[i].startedAt = 1;
             m_records[i].models = { HeldModel { BaseModelId("m"), {} } };
         }
-        for (int i = 0; i < figures.plans; ++i) {
+        for (int i = 0; i < parameters.plans; ++i) {
             m_nodes.push_back(std::make_unique<Node>());
             m_nodes.back()->plan =
                 std::make_unique<AdapterPlan>(AdapterPlanLimits {}, FencingToken(static_cast<std::uint64_t>(i) + 1), m_nodes.back()->loads);
@@ -148,7 +148,7 @@
         std::sort(result.begin(), result.end());
         return result;
     }
-    std::int64_t waitAt(double share, Time since = Time()) const
+    std::int64_t waitPercentile(double share, Time since = Time()) const
     {
         const auto sorted = waits(since);
         return sorted.empty() ? 0 : sorted[static_cast<std::size_t>(share * static_cast<double>(sorted.size() - 1))];
@@ -169,9 +169,9 @@
     {
         return m_cachedLoads;
     }
-    int mostFetchesAtOnce() const
+    int maxFetchesInFlight() const
     {
-        return m_mostFetchesAtOnce;
+        return m_maxFetchesInFlight;
     }
     int crashes() const
     {
@@ -239,8 +239,8 @@
             fetching += static_cast<int>(
                 std::count_if(engine.loading.begin(), engine.loading.end(), [](const Load &load) { return load.isFetch; }));
         }
-        m_mostFetchesAtOnce = std::max(m_mostFetchesAtOnce, fetching);
-        const double speed = std::min(1.0, static_cast<double>(m_figures.bearsAtOnce) / std::max(fetching, 1));
+        m_maxFetchesInFlight = std::max(m_maxFetchesInFlight, fetching);
+        const double speed = std::min(1.0, static_cast<double>(m_parameters.fullSpeedFetches) / std::max(fetching, 1));
         for (Engine &engine : m_engines) {
             for (Load &load : engine.loading) {
                 load.leftMs -= static_cast<double>(Step.milliseconds()) * (load.isFetch ? speed : 1);
@@ -260,7 +260,7 @@
     {
         std::erase(engine.cached, adapter);
         engine.cached.push_back(adapter);
-        if (engine.cached.size() > m_figures.cached) {
+        if (engine.cached.size() > m_parameters.cached) {
             engine.cached.pop_front();
         }
     }
@@ -366,16 +366,16 @@
             return OrderAnswer::Accepted;
         }
         const bool isCached = std::find(engine.cached.begin(), engine.cached.end(), name) != engine.cached.end();
-        const auto lateMs = static_cast<double>(m_figures.lateness.milliseconds());
-        const auto fetchMs = static_cast<double>(m_figures.fetch.milliseconds());
-        engine.loading.push_back(Load { name, (isCached ? fetchMs / 10 : fetchMs) + lateMs, !isCached });
+        const auto delayMs = static_cast<double>(m_parameters.observationDelay.milliseconds());
+        const auto fetchMs = static_cast<double>(m_parameters.fetch.milliseconds());
+        engine.loading.push_back(Load { name, (isCached ? fetchMs / 10 : fetchMs) + delayMs, !isCached });
         m_fetches += isCached ? 0 : 1;
         m_cachedLoads += isCached ? 1 : 0;
-        m_crashes += static_cast<int>(engine.held.size() + engine.loading.size()) > m_figures.slots ? 1 : 0;
+        m_crashes += static_cast<int>(engine.held.size() + engine.loading.size()) > m_parameters.slots ? 1 : 0;
         return OrderAnswer::Accepted;
     }
 
-    StoreFigures m_figures;
+    StoreParameters m_parameters;
     std::mt19937_64 m_random;
     Time m_now { 100'000 };
     EngineSpec m_spec;
@@ -386,7 +386,7 @@
     std::vector<AdapterUse> m_uses;
     int m_fetches = 0;
     int m_cachedLoads = 0;
-    int m_mostFetchesAtOnce = 0;
+    int m_maxFetchesInFlight = 0;
     int m_crashes = 0;
 };
 
