--- a/coordination/loadqueue.cpp
+++ b/coordination/loadqueue.cpp
@@ -15,14 +15,14 @@
 {
 
 // The part of a patient request's allowance that its load may wait for sharers, at a batch share of 1.
-constexpr double MaxHoldPart = 0.1;
+constexpr double MaxHoldRatio = 0.1;
 // A failure this long ago says nothing of the next try.
-constexpr Duration FailureMemory { 60'000 };
+constexpr Duration FailureExpiry { 60'000 };
 
 using Ranked = std::tuple<QueueLevel, Time, AdapterKey>;
-using Waking = std::pair<Time, AdapterKey>;
+using Sleeping = std::pair<Time, AdapterKey>;
 
-struct Wanted
+struct PendingLoad
 {
     AdapterDemand demand;
     // Where it stands: in the order when wakeAt is zero, else among those that sleep.
@@ -33,7 +33,7 @@
 struct Failure
 {
     int tries = 0;
-    Time nextTry;
+    Time nextRetryAt;
     Time last;
 };
 
@@ -43,18 +43,18 @@
 {
     LoadQueueLimits limits;
     std::mt19937_64 random;
-    absl::flat_hash_map<AdapterKey, Wanted> wanted;
+    absl::flat_hash_map<AdapterKey, PendingLoad> pending;
     absl::btree_set<Ranked> order;
-    absl::btree_set<Waking> sleeping;
+    absl::btree_set<Sleeping> sleeping;
     absl::flat_hash_map<AdapterKey, Failure> failures;
 
-    void unlink(const AdapterKey &adapter, const Wanted &entry);
-    void link(const AdapterKey &adapter, Wanted &entry, Time now);
-    Time wakeTime(const AdapterKey &adapter, const AdapterDemand &demand) const;
-    Duration worthOfSharing(const AdapterDemand &demand) const;
+    void unlink(const AdapterKey &adapter, const PendingLoad &entry);
+    void link(const AdapterKey &adapter, PendingLoad &entry, Time now);
+    Time wakeTimeOf(const AdapterKey &adapter, const AdapterDemand &demand) const;
+    Duration sharingCredit(const AdapterDemand &demand) const;
 };
 
-void LoadQueue::Private::unlink(const AdapterKey &adapter, const Wanted &entry)
+void LoadQueue::Private::unlink(const AdapterKey &adapter, const PendingLoad &entry)
 {
     if (entry.wakeAt == Time()) {
         order.erase({ entry.demand.level, entry.rank, adapter });
@@ -63,15 +63,15 @@
     }
 }
 
-Time LoadQueue::Private::wakeTime(const AdapterKey &adapter, const AdapterDemand &demand) const
+Time LoadQueue::Private::wakeTimeOf(const AdapterKey &adapter, const AdapterDemand &demand) const
 {
     Time wake;
     const auto failure = failures.find(adapter);
     if (failure != failures.end()) {
-        wake = failure->second.nextTry;
+        wake = failure->second.nextRetryAt;
     }
     if (demand.level == QueueLevel::Patient && demand.waiting < limits.targetSharers) {
-        const double hold = static_cast<double>(demand.allowance.milliseconds()) * MaxHoldPart * limits.batchShare;
+        const double hold = static_cast<double>(demand.allowance.milliseconds()) * MaxHoldRatio * limits.batchShare;
         wake = std::max(wake, demand.oldest + Duration(static_cast<std::int64_t>(hold)));
     }
     return wake;
@@ -79,25 +79,25 @@
 
 // How much longer an adapter counts as having waited for each further request that shares its load. Patient work can afford to let
 // adapters with more sharers go first, by a part of its allowance.
-Duration LoadQueue::Private::worthOfSharing(const AdapterDemand &demand) const
+Duration LoadQueue::Private::sharingCredit(const AdapterDemand &demand) const
 {
     if (demand.level != QueueLevel::Patient) {
-        return limits.perWaiting;
+        return limits.creditPerRequest;
     }
-    const double worth = static_cast<double>(demand.allowance.milliseconds()) * MaxHoldPart * limits.batchShare;
-    return std::max(limits.perWaiting, Duration(static_cast<std::int64_t>(worth)));
+    const double worth = static_cast<double>(demand.allowance.milliseconds()) * MaxHoldRatio * limits.batchShare;
+    return std::max(limits.creditPerRequest, Duration(static_cast<std::int64_t>(worth)));
 }
 
-void LoadQueue::Private::link(const AdapterKey &adapter, Wanted &entry, Time now)
+void LoadQueue::Private::link(const AdapterKey &adapter, PendingLoad &entry, Time now)
 {
-    const Time wake = wakeTime(adapter, entry.demand);
+    const Time wake = wakeTimeOf(adapter, entry.demand);
     if (wake > now) {
         entry.wakeAt = wake;
         sleeping.insert({ wake, adapter });
         return;
     }
     entry.wakeAt = Time();
-    entry.rank = entry.demand.oldest - worthOfSharing(entry.demand) * (entry.demand.waiting - 1);
+    entry.rank = entry.demand.oldest - sharingCredit(entry.demand) * (entry.demand.waiting - 1);
     order.insert({ entry.demand.level, entry.rank, adapter });
 }
 
@@ -118,7 +118,7 @@
         remove(adapter);
         return;
     }
-    const auto [at, isNew] = d->wanted.try_emplace(adapter);
+    const auto [at, isNew] = d->pending.try_emplace(adapter);
     if (!isNew) {
         d->unlink(adapter, at->second);
     }
@@ -128,10 +128,10 @@
 
 void LoadQueue::remove(const AdapterKey &adapter)
 {
-    const auto at = d->wanted.find(adapter);
-    if (at != d->wanted.end()) {
+    const auto at = d->pending.find(adapter);
+    if (at != d->pending.end()) {
         d->unlink(adapter, at->second);
-        d->wanted.erase(at);
+        d->pending.erase(at);
     }
 }
 
@@ -139,7 +139,7 @@
 {
     while (!d->sleeping.empty() && d->sleeping.begin()->first <= now) {
         const AdapterKey adapter = d->sleeping.begin()->second;
-        Wanted &entry = d->wanted.at(adapter);
+        PendingLoad &entry = d->pending.at(adapter);
         d->unlink(adapter, entry);
         d->link(adapter, entry, now);
     }
@@ -163,13 +163,13 @@
     if (at == d->order.end() || std::get<QueueLevel>(*at) != level) {
         return std::nullopt;
     }
-    return d->wanted.at(std::get<AdapterKey>(*at)).demand.oldest;
+    return d->pending.at(std::get<AdapterKey>(*at)).demand.oldest;
 }
 
 std::optional<AdapterDemand> LoadQueue::demand(const AdapterKey &adapter) const
 {
-    const auto at = d->wanted.find(adapter);
-    return at == d->wanted.end() ? std::nullopt : std::optional(at->second.demand);
+    const auto at = d->pending.find(adapter);
+    return at == d->pending.end() ? std::nullopt : std::optional(at->second.demand);
 }
 
 bool LoadQueue::isEmpty() const
@@ -179,20 +179,20 @@
 
 std::optional<Time> LoadQueue::onLoadFailed(const AdapterKey &adapter, Time now)
 {
-    absl::erase_if(d->failures, [&](const auto &entry) { return now - entry.second.last > FailureMemory; });
+    absl::erase_if(d->failures, [&](const auto &entry) { return now - entry.second.last > FailureExpiry; });
     Failure &failure = d->failures[adapter];
     const std::int64_t doubled = d->limits.firstBackoff.milliseconds() << std::min(failure.tries, 10);
     const std::int64_t longest = std::min(doubled, d->limits.maxBackoff.milliseconds());
     std::uniform_int_distribution<std::int64_t> jittered(longest / 2, longest);
     ++failure.tries;
     failure.last = now;
-    failure.nextTry = now + Duration(jittered(d->random));
-    const auto at = d->wanted.find(adapter);
-    if (at != d->wanted.end()) {
+    failure.nextRetryAt = now + Duration(jittered(d->random));
+    const auto at = d->pending.find(adapter);
+    if (at != d->pending.end()) {
         d->unlink(adapter, at->second);
         d->link(adapter, at->second, now);
     }
-    return failure.tries >= d->limits.maxTries ? std::nullopt : std::optional(failure.nextTry);
+    return failure.tries >= d->limits.maxTries ? std::nullopt : std::optional(failure.nextRetryAt);
 }
 
 void LoadQueue::onLoadSucceeded(const AdapterKey &adapter)
@@ -203,7 +203,7 @@
 Duration LoadQueue::remainingBackoff(const AdapterKey &adapter, Time now) const
 {
     const auto at = d->failures.find(adapter);
-    return at == d->failures.end() || at->second.nextTry <= now ? Duration() : at->second.nextTry - now;
+    return at == d->failures.end() || at->second.nextRetryAt <= now ? Duration() : at->second.nextRetryAt - now;
 }
 
 } // namespace ApricotStep
--- a/coordination/loadqueue.h
+++ b/coordination/loadqueue.h
@@ -24,7 +24,7 @@
 struct LoadQueueLimits
 {
     /** How much each further waiting request counts, as time that the first one would have waited. */
-    Duration perWaiting { 500 };
+    Duration creditPerRequest { 500 };
     /** Weight of full batches against short stalls, 0 to 1: how long a load for patient work waits for more requests to share it. */
     double batchShare = 0.5;
     /** A load for patient work waits no longer once this many requests share it. */
