--- a/coordination/loadpermits.cpp
+++ b/coordination/loadpermits.cpp
@@ -16,13 +16,13 @@
 namespace
 {
 
-constexpr std::string_view GiverKey = "load-permits";
+constexpr std::string_view IssuerKey = "load-permits";
 // Each further request that shares a load counts as if the first had waited half a second longer: the time of one load at 2 a second.
-constexpr Duration PerWaiting { 500 };
+constexpr Duration CreditPerRequest { 500 };
 // Unspent rate is kept for this many loads at most: the store serves one at a time at full speed.
-constexpr double MaxSaved = 1.0;
+constexpr double MaxTokens = 1.0;
 // A giver that could not be reached is left alone this long.
-constexpr Duration GiverRetryDelay { 2000 };
+constexpr Duration IssuerRetryDelay { 2000 };
 
 // Urgent, standard, patient, then prefetch.
 int rankOf(const std::optional<Priority> &urgency)
@@ -45,7 +45,7 @@
     NodeId best;
     double bestScore = 0;
     for (const NodeId &node : live) {
-        const double score = rendezvousScore(GiverKey, node.value(), 1.0);
+        const double score = rendezvousScore(IssuerKey, node.value(), 1.0);
         if (best.isEmpty() || score > bestScore || (score == bestScore && node < best)) {
             best = node;
             bestScore = score;
@@ -58,28 +58,28 @@
 {
     LoadBudget budget;
     double share = 1.0;
-    double saved = MaxSaved;
-    Time savedAt;
+    double tokens = MaxTokens;
+    Time refilledAt;
     absl::btree_set<Ranked> order;
     // Requests that wait, by rank.
     std::array<int, PriorityCount + 1> counts {};
     absl::btree_map<PermitName, Waiting> waiting;
     absl::btree_map<PermitName, Time> inFlight;
 
-    void save(Time now);
-    void forget(const PermitName &name);
-    void dropStale(Time now);
+    void refill(Time now);
+    void removeWaiting(const PermitName &name);
+    void removeStale(Time now);
     int parallel() const;
 };
 
-void PermitIssuer::Private::save(Time now)
+void PermitIssuer::Private::refill(Time now)
 {
-    const double earned = (now - savedAt).toSeconds() * budget.ratePerSecond * share;
-    saved = std::min(MaxSaved, saved + std::max(0.0, earned));
-    savedAt = now;
+    const double earnedTokens = (now - refilledAt).toSeconds() * budget.ratePerSecond * share;
+    tokens = std::min(MaxTokens, tokens + std::max(0.0, earnedTokens));
+    refilledAt = now;
 }
 
-void PermitIssuer::Private::forget(const PermitName &name)
+void PermitIssuer::Private::removeWaiting(const PermitName &name)
 {
     const auto at = waiting.find(name);
     if (at != waiting.end()) {
@@ -89,14 +89,14 @@
     }
 }
 
-void PermitIssuer::Private::dropStale(Time now)
+void PermitIssuer::Private::removeStale(Time now)
 {
     while (!order.empty()) {
         const PermitName &first = std::get<PermitName>(*order.begin());
-        if (now - waiting.at(first).heardAt <= budget.requestLife) {
+        if (now - waiting.at(first).heardAt <= budget.requestTimeout) {
             break;
         }
-        forget(PermitName(first));
+        removeWaiting(PermitName(first));
     }
     for (auto at = inFlight.begin(); at != inFlight.end();) {
         at = at->second <= now ? inFlight.erase(at) : std::next(at);
@@ -120,7 +120,7 @@
 
 void PermitIssuer::setShare(double share, Time now)
 {
-    d->save(now);
+    d->refill(now);
     d->share = std::clamp(share, 0.0, 1.0);
 }
 
@@ -129,40 +129,40 @@
     if (d->inFlight.contains(request.name)) {
         return;
     }
-    d->forget(request.name);
-    const Time since = now - request.waited - PerWaiting * std::max(0, request.waiting - 1);
+    d->removeWaiting(request.name);
+    const Time since = now - request.waited - CreditPerRequest * std::max(0, request.waiting - 1);
     const Ranked place { rankOf(request.urgency), since, request.name };
     d->order.insert(place);
     ++d->counts[static_cast<std::size_t>(std::get<int>(place))];
     d->waiting[request.name] = { place, now };
 }
 
-void PermitIssuer::release(const PermitRelease &returned, Time now)
+void PermitIssuer::release(const PermitRelease &released, Time now)
 {
-    d->save(now);
+    d->refill(now);
     // A withdrawal may cross the grant: the permit is then still out, and comes back as unused in its own time.
-    if (returned.end == PermitEnd::Withdrawn) {
-        d->forget(returned.name);
+    if (released.end == PermitEnd::Withdrawn) {
+        d->removeWaiting(released.name);
         return;
     }
-    const bool wasGranted = d->inFlight.erase(returned.name) > 0;
-    if (wasGranted && returned.end == PermitEnd::Unused) {
-        d->saved = std::min(MaxSaved, d->saved + 1.0);
+    const bool wasGranted = d->inFlight.erase(released.name) > 0;
+    if (wasGranted && released.end == PermitEnd::Unused) {
+        d->tokens = std::min(MaxTokens, d->tokens + 1.0);
     }
 }
 
 std::vector<PermitGrant> PermitIssuer::grant(Time now)
 {
-    d->save(now);
-    d->dropStale(now);
+    d->refill(now);
+    d->removeStale(now);
     std::vector<PermitGrant> grants;
-    while (!d->order.empty() && d->saved >= 1.0 && std::cmp_less(d->inFlight.size(), d->parallel())) {
+    while (!d->order.empty() && d->tokens >= 1.0 && std::cmp_less(d->inFlight.size(), d->parallel())) {
         const PermitName name = std::get<PermitName>(*d->order.begin());
-        d->forget(name);
-        d->saved -= 1.0;
-        d->inFlight[name] = now + d->budget.permitLife;
-        grants.push_back({ name, d->budget.permitLife });
-        d->dropStale(now);
+        d->removeWaiting(name);
+        d->tokens -= 1.0;
+        d->inFlight[name] = now + d->budget.permitLifetime;
+        grants.push_back({ name, d->budget.permitLifetime });
+        d->removeStale(now);
     }
     return grants;
 }
@@ -192,49 +192,49 @@
     Private(NodeId aSelf, const LoadBudget &aBudget)
         : self(std::move(aSelf))
         , budget(aBudget)
-        , ownPart(aBudget)
+        , localIssuer(aBudget)
     {
     }
 
     struct Pending
     {
         PermitRequest request;
-        Time askedAt;
+        Time sentAt;
     };
 
     NodeId self;
     LoadBudget budget;
     // Takes the giver's place while none answers.
-    PermitIssuer ownPart;
+    PermitIssuer localIssuer;
     NodeId issuer;
-    Time giverAbsentUntil;
+    Time issuerUnreachableUntil;
     absl::btree_map<PermitName, Pending> pending;
 
-    bool hasGiver(Time now) const
+    bool hasIssuer(Time now) const
     {
-        return !issuer.isEmpty() && now >= giverAbsentUntil;
+        return !issuer.isEmpty() && now >= issuerUnreachableUntil;
     }
     void send(const Pending &what, Time now, std::vector<PermitAction> &actions);
-    void takeOwnGrants(Time now, std::vector<PermitAction> &actions);
+    void takeLocalGrants(Time now, std::vector<PermitAction> &actions);
 };
 
 void PermitClient::Private::send(const Pending &what, Time now, std::vector<PermitAction> &actions)
 {
     PermitRequest request = what.request;
-    request.waited = request.waited + (now - what.askedAt);
-    if (hasGiver(now)) {
+    request.waited = request.waited + (now - what.sentAt);
+    if (hasIssuer(now)) {
         actions.emplace_back(SendToIssuer { issuer, request });
     } else {
-        ownPart.request(request, now);
+        localIssuer.request(request, now);
     }
 }
 
-void PermitClient::Private::takeOwnGrants(Time now, std::vector<PermitAction> &actions)
+void PermitClient::Private::takeLocalGrants(Time now, std::vector<PermitAction> &actions)
 {
-    if (hasGiver(now)) {
+    if (hasIssuer(now)) {
         return;
     }
-    for (const PermitGrant &grant : ownPart.grant(now)) {
+    for (const PermitGrant &grant : localIssuer.grant(now)) {
         pending.erase(grant.name);
         actions.emplace_back(PermitReceived { grant.name.upstream, grant.name.adapter, now + grant.lifetime });
     }
@@ -254,9 +254,9 @@
     const NodeId next = permitIssuerOf(live);
     if (next != d->issuer) {
         d->issuer = next;
-        d->giverAbsentUntil = Time();
+        d->issuerUnreachableUntil = Time();
     }
-    d->ownPart.setShare(1.0 / std::max({ 1, listed, static_cast<int>(live.size()) }), now);
+    d->localIssuer.setShare(1.0 / std::max({ 1, listed, static_cast<int>(live.size()) }), now);
 }
 
 std::vector<PermitAction> PermitClient::requestPermit(const PermitRequest &request, Time now)
@@ -265,19 +265,19 @@
     Private::Pending &pending = d->pending[request.name];
     pending = { request, now };
     d->send(pending, now, actions);
-    d->takeOwnGrants(now, actions);
+    d->takeLocalGrants(now, actions);
     return actions;
 }
 
-std::vector<PermitAction> PermitClient::release(const PermitRelease &returned, Time now)
+std::vector<PermitAction> PermitClient::release(const PermitRelease &released, Time now)
 {
     std::vector<PermitAction> actions;
-    d->pending.erase(returned.name);
-    d->ownPart.release(returned, now);
-    if (d->hasGiver(now)) {
-        actions.emplace_back(SendToIssuer { d->issuer, returned });
+    d->pending.erase(released.name);
+    d->localIssuer.release(released, now);
+    if (d->hasIssuer(now)) {
+        actions.emplace_back(SendToIssuer { d->issuer, released });
     }
-    d->takeOwnGrants(now, actions);
+    d->takeLocalGrants(now, actions);
     return actions;
 }
 
@@ -292,20 +292,20 @@
 
 void PermitClient::onIssuerReply(bool isReached, Time now)
 {
-    d->giverAbsentUntil = isReached ? Time() : now + GiverRetryDelay;
+    d->issuerUnreachableUntil = isReached ? Time() : now + IssuerRetryDelay;
 }
 
 std::vector<PermitAction> PermitClient::tick(Time now)
 {
     std::vector<PermitAction> actions;
     for (auto &[name, pending] : d->pending) {
-        if (now - pending.askedAt >= d->budget.requestInterval) {
+        if (now - pending.sentAt >= d->budget.requestInterval) {
             d->send(pending, now, actions);
-            pending.request.waited = pending.request.waited + (now - pending.askedAt);
-            pending.askedAt = now;
+            pending.request.waited = pending.request.waited + (now - pending.sentAt);
+            pending.sentAt = now;
         }
     }
-    d->takeOwnGrants(now, actions);
+    d->takeLocalGrants(now, actions);
     return actions;
 }
 
--- a/coordination/loadpermits.h
+++ b/coordination/loadpermits.h
@@ -28,9 +28,9 @@
     /** Loads in flight at once; at least 1. */
     int parallel = 8;
     /** How long a permit is good for; it also stands for a load whose end is never heard of. */
-    Duration permitLife { 2000 };
+    Duration permitLifetime { 2000 };
     /** A request for a permit that is not repeated is forgotten after this long. */
-    Duration requestLife { 3000 };
+    Duration requestTimeout { 3000 };
     Duration requestInterval { 1000 };
 };
 
@@ -89,7 +89,7 @@
     /** The part of the budget that is this giver's, 0 to 1: the share of the listed nodes that it can reach. */
     void setShare(double share, Time now);
     void request(const PermitRequest &request, Time now);
-    void release(const PermitRelease &returned, Time now);
+    void release(const PermitRelease &released, Time now);
     /** The permits that may be given now; call it after each message and every 20 to 100 ms. */
     std::vector<PermitGrant> grant(Time now);
 
@@ -134,7 +134,7 @@
     /** Nodes that live, and how many the VM list has; a node of its own giving asks itself through the same messages. */
     void setFleet(const std::vector<NodeId> &live, int listed, Time now);
     std::vector<PermitAction> requestPermit(const PermitRequest &request, Time now);
-    std::vector<PermitAction> release(const PermitRelease &returned, Time now);
+    std::vector<PermitAction> release(const PermitRelease &released, Time now);
     std::vector<PermitAction> granted(const PermitGrant &grant, Time now);
     /** A message to the giver was taken by it, or could not be brought to it. */
     void onIssuerReply(bool isReached, Time now);
