--- a/coordination/engineslots.cpp
+++ b/coordination/engineslots.cpp
@@ -18,7 +18,7 @@
 // An engine that refused an eviction is asked again after this long, not at once and for ever.
 constexpr Duration EvictionRetryDelay { 1000 };
 // Evictions are remembered this long, to see that a report which still lists the adapter is older. Reports lag by seconds at most.
-constexpr Duration EvictionMemory { 60'000 };
+constexpr Duration EvictionRecordLifetime { 60'000 };
 // A load that took long costs more to repeat, but a store under pressure must not make one adapter immovable.
 constexpr double MaxCostFactor = 4.0;
 
@@ -28,7 +28,7 @@
     Time since;
     Time noEvictionBefore;
     double cost = 1.0;
-    bool hasCrossedRestart = false;
+    bool hasSpannedRestart = false;
 };
 
 struct Pins
@@ -41,7 +41,7 @@
 
 // Adds one use at @p at to a decayed count. Both sides are kept as logarithms relative to a fixed origin, so that the order of two
 // adapters does not change while time goes by, and no count has to be touched for its decay.
-double addUse(double score, double at)
+double addLogCount(double score, double at)
 {
     const double high = std::max(score, at);
     const double low = std::min(score, at);
@@ -72,7 +72,7 @@
     void setState(const AdapterKey &adapter, SlotState state, Time now);
     void erase(const AdapterKey &adapter);
     void setScore(const AdapterKey &adapter, double score);
-    void forgetLeastPopular();
+    void removeLeastPopular();
     void unpin(const AdapterKey &adapter, int Pins::*count);
     bool isEvictable(const AdapterKey &adapter, const Slot &slot, bool isUrgent, Time now) const;
     bool applyToSlot(const AdapterKey &adapter, bool isListed, Time takenAt, Time now);
@@ -137,15 +137,15 @@
     }
     scores[adapter] = score;
     if (isAbsent) {
-        forgetLeastPopular();
+        removeLeastPopular();
     } else {
         refreshIdle(adapter);
     }
 }
 
-void EngineSlots::Private::forgetLeastPopular()
+void EngineSlots::Private::removeLeastPopular()
 {
-    while (std::cmp_greater(absent.size(), limits.remembered)) {
+    while (std::cmp_greater(absent.size(), limits.maxTrackedAbsent)) {
         scores.erase(absent.begin()->second);
         absent.erase(absent.begin());
     }
@@ -211,7 +211,7 @@
 
 void EngineSlots::recordRequest(const AdapterKey &adapter, Time now)
 {
-    d->setScore(adapter, addUse(d->scoreOf(adapter), singleUseScore(now)));
+    d->setScore(adapter, addLogCount(d->scoreOf(adapter), singleUseScore(now)));
 }
 
 void EngineSlots::addQueued(const AdapterKey &adapter)
@@ -270,7 +270,7 @@
 void EngineSlots::beginLoad(const AdapterKey &adapter, Time now)
 {
     d->setState(adapter, SlotState::Loading, now);
-    d->slots[adapter].hasCrossedRestart = false;
+    d->slots[adapter].hasSpannedRestart = false;
 }
 
 void EngineSlots::endLoad(const AdapterKey &adapter, OrderOutcome outcome, Time now)
@@ -285,7 +285,7 @@
     }
     // A timeout says nothing of the engine: taking the adapter for absent would fill its slot twice, and the next load would fail.
     // The same holds for an answer that comes after a restart, when it is not known which start gave it.
-    if (outcome == OrderOutcome::Unknown || at->second.hasCrossedRestart) {
+    if (outcome == OrderOutcome::Unknown || at->second.hasSpannedRestart) {
         d->setState(adapter, SlotState::Unknown, now);
         return;
     }
@@ -329,7 +329,7 @@
     switch (outcome) {
     case OrderOutcome::Done:
         d->erase(adapter);
-        absl::erase_if(d->evictedAt, [&](const auto &entry) { return now - entry.second > EvictionMemory; });
+        absl::erase_if(d->evictedAt, [&](const auto &entry) { return now - entry.second > EvictionRecordLifetime; });
         d->evictedAt[adapter] = now;
         break;
     case OrderOutcome::Failed:
@@ -346,7 +346,7 @@
     std::vector<AdapterKey> gone;
     for (auto &[adapter, slot] : d->slots) {
         if (slot.state == SlotState::Loading) {
-            slot.hasCrossedRestart = true;
+            slot.hasSpannedRestart = true;
         } else {
             gone.push_back(adapter);
         }
--- a/coordination/engineslots.h
+++ b/coordination/engineslots.h
@@ -47,7 +47,7 @@
     /** After this long a use counts half. */
     Duration halfLife { 300'000 };
     /** Popularity is remembered of this many adapters that are not loaded. */
-    int remembered = 4096;
+    int maxTrackedAbsent = 4096;
 };
 
 /** The slots of one engine. Not thread-safe. */
--- a/coordination/fleetdemand.cpp
+++ b/coordination/fleetdemand.cpp
@@ -12,7 +12,7 @@
 // How often silent nodes and forgotten adapters are looked for: a small part of the time for which what a node said counts.
 constexpr Duration SweepInterval { 250 };
 // An adapter below this has had no request for five half lives; ten thousand of them would take a megabyte.
-constexpr double LeastPopularity = 0.03;
+constexpr double MinPopularity = 0.03;
 
 } // namespace
 
@@ -38,35 +38,35 @@
     NodeUses &known = m_nodes[node];
     std::erase_if(known.uses, [](const AdapterUse &use) { return use.engine.isEmpty() && !use.hasOverloadedCopies; });
     known.uses.insert(known.uses.end(), pendingAdapters.begin(), pendingAdapters.end());
-    known.heardAt = now;
+    known.lastReceivedAt = now;
     m_isChanged = true;
 }
 
 void FleetDemand::refresh(Time now)
 {
-    if (now - m_sweptAt >= SweepInterval) {
-        m_sweptAt = now;
-        forgetSilent(now);
-        forgetUnpopular(now);
+    if (now - m_lastSweepAt >= SweepInterval) {
+        m_lastSweepAt = now;
+        removeUnresponsive(now);
+        removeUnpopular(now);
     }
     if (m_isChanged) {
         m_isChanged = false;
-        collect(now);
+        aggregate(now);
     }
 }
 
-void FleetDemand::forgetSilent(Time now)
+void FleetDemand::removeUnresponsive(Time now)
 {
-    const auto isSilent = [now](const auto &entry) { return now - entry.second.heardAt > UseMemory; };
-    m_isChanged = absl::erase_if(m_nodes, isSilent) > 0 || m_isChanged;
+    const auto isUnresponsive = [now](const auto &entry) { return now - entry.second.lastReceivedAt > UseTimeout; };
+    m_isChanged = absl::erase_if(m_nodes, isUnresponsive) > 0 || m_isChanged;
 }
 
-void FleetDemand::forgetUnpopular(Time now)
+void FleetDemand::removeUnpopular(Time now)
 {
-    absl::erase_if(m_popularity, [this, now](const auto &entry) { return popularity(entry.first, now) < LeastPopularity; });
+    absl::erase_if(m_popularity, [this, now](const auto &entry) { return popularity(entry.first, now) < MinPopularity; });
 }
 
-void FleetDemand::collect(Time now)
+void FleetDemand::aggregate(Time now)
 {
     absl::flat_hash_map<AdapterRef, Time> pendingSince;
     for (const PendingAdapter &pending : m_pendingAdapters) {
@@ -88,7 +88,7 @@
             pending.hasOverloadedCopies = pending.hasOverloadedCopies && use.hasOverloadedCopies;
             pending.waiting += use.waiting;
             if (use.waiting > 0) {
-                pending.objectiveDeadline = std::max(pending.objectiveDeadline, known.heardAt + use.latencySlack);
+                pending.objectiveDeadline = std::max(pending.objectiveDeadline, known.lastReceivedAt + use.latencySlack);
             }
         }
     }
--- a/coordination/fleetdemand.h
+++ b/coordination/fleetdemand.h
@@ -37,7 +37,7 @@
 {
 public:
     /** What a node said counts for this long: six messages missed. */
-    static constexpr Duration UseMemory { 1500 };
+    static constexpr Duration UseTimeout { 1500 };
 
     explicit FleetDemand(Duration popularityHalfLife);
 
@@ -63,12 +63,12 @@
     struct NodeUses
     {
         std::vector<AdapterUse> uses;
-        Time heardAt;
+        Time lastReceivedAt;
     };
 
-    void forgetSilent(Time now);
-    void forgetUnpopular(Time now);
-    void collect(Time now);
+    void removeUnresponsive(Time now);
+    void removeUnpopular(Time now);
+    void aggregate(Time now);
 
     Duration m_popularityHalfLife;
     absl::flat_hash_map<NodeId, NodeUses> m_nodes;
@@ -76,7 +76,7 @@
     absl::flat_hash_set<std::pair<UpstreamId, AdapterRef>> m_used;
     std::vector<PendingAdapter> m_pendingAdapters;
     bool m_isChanged = false;
-    Time m_sweptAt;
+    Time m_lastSweepAt;
 };
 
 } // namespace ApricotStep
--- a/coordination/fleetmessage.h
+++ b/coordination/fleetmessage.h
@@ -124,9 +124,9 @@
  */
 inline Duration heartbeatTimeout(Duration interval)
 {
-    constexpr int MessagesMissed = 3;
-    constexpr Duration LateMessage { 300 };
-    return interval * MessagesMissed + LateMessage;
+    constexpr int MaxMissedMessages = 3;
+    constexpr Duration LateMessageMargin { 300 };
+    return interval * MaxMissedMessages + LateMessageMargin;
 }
 
 /** What nodes tell each other, several times a second. */
--- a/coordination/hotspread.cpp
+++ b/coordination/hotspread.cpp
@@ -13,9 +13,9 @@
 
 constexpr double ColdDemand = 0.05;
 // Long gaps are stepped through, so that a spread never moves faster after a quiet time than the damping allows.
-constexpr double LongestGapSeconds = 60;
+constexpr double MaxGapSeconds = 60;
 
-struct Heat
+struct AdapterSpread
 {
     int inProgress = 0;
     double demand = 0;
@@ -28,29 +28,29 @@
 struct HotSpread::Private
 {
     SpreadLimits limits;
-    absl::flat_hash_map<AdapterKey, Heat> heats;
+    absl::flat_hash_map<AdapterKey, AdapterSpread> spreads;
 
-    void advance(Heat &heat, Time now) const
+    void advance(AdapterSpread &spread, Time now) const
     {
-        const double seconds = std::clamp((now - heat.at).toSeconds(), 0.0, LongestGapSeconds);
-        heat.at = std::max(heat.at, now);
-        const double kept = std::exp(-seconds / limits.averagedOver.toSeconds());
-        heat.demand = heat.inProgress + (heat.demand - heat.inProgress) * kept;
-        const double needed = heat.demand / limits.replicaDemand;
-        const double step = heat.width * limits.movePerSecond * seconds;
-        if (needed > heat.width) {
-            heat.width = std::min({ heat.width + step, needed, limits.widest });
-        } else if (needed < heat.width * limits.narrowBelow) {
-            heat.width = std::max({ heat.width - step, needed / limits.narrowBelow, 1.0 });
+        const double seconds = std::clamp((now - spread.at).toSeconds(), 0.0, MaxGapSeconds);
+        spread.at = std::max(spread.at, now);
+        const double kept = std::exp(-seconds / limits.averagingWindow.toSeconds());
+        spread.demand = spread.inProgress + (spread.demand - spread.inProgress) * kept;
+        const double needed = spread.demand / limits.demandPerReplica;
+        const double step = spread.width * limits.maxMovePerSecond * seconds;
+        if (needed > spread.width) {
+            spread.width = std::min({ spread.width + step, needed, limits.maxWidth });
+        } else if (needed < spread.width * limits.narrowBelow) {
+            spread.width = std::max({ spread.width - step, needed / limits.narrowBelow, 1.0 });
         }
     }
-    static bool isCold(const Heat &heat)
+    static bool isCold(const AdapterSpread &spread)
     {
-        return heat.inProgress == 0 && heat.demand < ColdDemand && heat.width <= 1;
+        return spread.inProgress == 0 && spread.demand < ColdDemand && spread.width <= 1;
     }
-    void forgetCold(Time now)
+    void removeCold(Time now)
     {
-        absl::erase_if(heats, [&](auto &entry) {
+        absl::erase_if(spreads, [&](auto &entry) {
             advance(entry.second, now);
             return isCold(entry.second);
         });
@@ -69,15 +69,15 @@
 
 void HotSpread::onArrival(const AdapterKey &adapter, Time now)
 {
-    auto at = d->heats.find(adapter);
-    if (at == d->heats.end()) {
-        if (d->heats.size() >= d->limits.capacity) {
-            d->forgetCold(now);
+    auto at = d->spreads.find(adapter);
+    if (at == d->spreads.end()) {
+        if (d->spreads.size() >= d->limits.capacity) {
+            d->removeCold(now);
         }
-        if (d->heats.size() >= d->limits.capacity) {
+        if (d->spreads.size() >= d->limits.capacity) {
             return;
         }
-        at = d->heats.emplace(adapter, Heat { 0, 0, 1, now }).first;
+        at = d->spreads.emplace(adapter, AdapterSpread { 0, 0, 1, now }).first;
     }
     d->advance(at->second, now);
     ++at->second.inProgress;
@@ -85,8 +85,8 @@
 
 void HotSpread::onEnd(const AdapterKey &adapter, Time now)
 {
-    const auto at = d->heats.find(adapter);
-    if (at == d->heats.end() || at->second.inProgress == 0) {
+    const auto at = d->spreads.find(adapter);
+    if (at == d->spreads.end() || at->second.inProgress == 0) {
         return;
     }
     d->advance(at->second, now);
@@ -95,17 +95,17 @@
 
 double HotSpread::width(const AdapterKey &adapter, Time now)
 {
-    const auto at = d->heats.find(adapter);
-    if (at == d->heats.end()) {
+    const auto at = d->spreads.find(adapter);
+    if (at == d->spreads.end()) {
         return 1;
     }
     d->advance(at->second, now);
     return at->second.width;
 }
 
-std::size_t HotSpread::watchedCount() const
+std::size_t HotSpread::trackedCount() const
 {
-    return d->heats.size();
+    return d->spreads.size();
 }
 
 } // namespace ApricotStep
--- a/coordination/hotspread.h
+++ b/coordination/hotspread.h
@@ -19,15 +19,15 @@
 struct SpreadLimits
 {
     /** Requests in progress of one adapter that one upstream bears before the next helps; above 0. */
-    double replicaDemand = 8;
+    double demandPerReplica = 8;
     /** Time over which demand is averaged. */
-    Duration averagedOver = Duration::seconds(5);
+    Duration averagingWindow = Duration::seconds(5);
     /** The spread narrows when demand falls below this share of it, 0 to 1. */
     double narrowBelow = 0.5;
     /** Share of an adapter's load that moves within a second at most, above 0. */
-    double movePerSecond = 0.2;
+    double maxMovePerSecond = 0.2;
     /** Widest spread in upstreams. */
-    double widest = 8;
+    double maxWidth = 8;
     /** Adapters watched at once; beyond them new ones are treated as cold. */
     std::size_t capacity = 20'000;
 };
@@ -48,7 +48,7 @@
      * Width of the spread in upstreams, 1 to the widest. 2.3 means the first two candidates, and the third for three requests in ten.
      */
     double width(const AdapterKey &adapter, Time now);
-    std::size_t watchedCount() const;
+    std::size_t trackedCount() const;
 
 private:
     struct Private;
--- a/coordination/loadpermits.cpp
+++ b/coordination/loadpermits.cpp
@@ -35,7 +35,7 @@
 struct Waiting
 {
     Ranked place;
-    Time heardAt;
+    Time lastReceivedAt;
 };
 
 } // namespace
@@ -93,7 +93,7 @@
 {
     while (!order.empty()) {
         const PermitName &first = std::get<PermitName>(*order.begin());
-        if (now - waiting.at(first).heardAt <= budget.requestTimeout) {
+        if (now - waiting.at(first).lastReceivedAt <= budget.requestTimeout) {
             break;
         }
         removeWaiting(PermitName(first));
--- a/coordination/placement.cpp
+++ b/coordination/placement.cpp
@@ -23,12 +23,12 @@
 };
 
 // The greatest values seen so far, greatest first.
-class Best
+class TopValues
 {
 public:
     void offer(std::uint64_t value, std::size_t position)
     {
-        if (value <= m_least) {
+        if (value <= m_smallest) {
             return;
         }
         std::size_t at = m_count < m_entries.size() ? m_count++ : m_count - 1;
@@ -36,7 +36,7 @@
             m_entries[at] = m_entries[at - 1];
         }
         m_entries[at] = { value, position };
-        m_least = m_count == m_entries.size() ? m_entries.back().value : 0;
+        m_smallest = m_count == m_entries.size() ? m_entries.back().value : 0;
     }
 
     struct Entry
@@ -56,7 +56,7 @@
 private:
     std::array<Entry, Placement::MaxCandidates> m_entries;
     std::size_t m_count = 0;
-    std::uint64_t m_least = 0;
+    std::uint64_t m_smallest = 0;
 };
 
 struct Scored
@@ -65,7 +65,7 @@
     const Candidate *candidate = nullptr;
 };
 
-void finish(Group &group)
+void finishGroup(Group &group)
 {
     std::sort(
         group.members.begin(), group.members.end(), [](const Candidate &a, const Candidate &b) { return a.upstream->id < b.upstream->id; });
@@ -92,8 +92,8 @@
 
     const NodeView *owner(const UpstreamSpec &upstream) const
     {
-        const auto near = nodesByZone.find(upstream.zone);
-        return ownerOf(upstream.id, upstream.zone, near == nodesByZone.end() ? fleet->nodes : near->second);
+        const auto inZone = nodesByZone.find(upstream.zone);
+        return ownerOf(upstream.id, upstream.zone, inZone == nodesByZone.end() ? fleet->nodes : inZone->second);
     }
 };
 
@@ -117,7 +117,7 @@
     // Equal hash values are broken by position, so positions must not depend on the order in which the catalog was written.
     for (auto &[model, groups] : d->models) {
         for (auto &[slots, group] : groups) {
-            finish(group);
+            finishGroup(group);
         }
     }
 }
@@ -134,11 +134,11 @@
     std::vector<Scored> scored;
     scored.reserve(MaxCandidates * model->second.size());
     for (const auto &[slots, group] : model->second) {
-        Best best;
+        TopValues best;
         for (std::size_t i = 0; i < group.hashes.size(); ++i) {
             best.offer(mixHashes(adapterHash, group.hashes[i]), i);
         }
-        for (const Best::Entry &entry : best) {
+        for (const TopValues::Entry &entry : best) {
             scored.push_back({ rendezvousScore(entry.value, slots), &group.members[entry.position] });
         }
     }
--- a/coordination/prefixhints.cpp
+++ b/coordination/prefixhints.cpp
@@ -30,7 +30,7 @@
     std::uint64_t serial = 0;
 };
 
-struct Written
+struct WrittenHint
 {
     std::uint64_t key = 0;
     std::uint64_t serial = 0;
@@ -49,7 +49,7 @@
     absl::flat_hash_map<UpstreamId, Source> sources;
     absl::flat_hash_map<std::uint64_t, Hint> hints;
     // In the order of writing; an entry whose hint was written again or removed since is skipped.
-    std::deque<Written> order;
+    std::deque<WrittenHint> order;
     std::uint64_t nextSerial = 0;
 
     // False for an event that comes after a newer one of its upstream.
--- a/coordination/replicachoice.cpp
+++ b/coordination/replicachoice.cpp
@@ -10,17 +10,17 @@
 namespace
 {
 
-constexpr double FarZoneCost = 0.5;
+constexpr double OtherZoneCost = 0.5;
 constexpr double PrefixGain = 2;
 
-double chance(std::mt19937_64 &random)
+double uniformRandom(std::mt19937_64 &random)
 {
     return std::uniform_real_distribution<double>(0, 1)(random);
 }
 
 double bias(const ReplicaView &view)
 {
-    return (view.isInSameZone ? 0 : FarZoneCost) - (view.hasPrefix ? PrefixGain : 0);
+    return (view.isInSameZone ? 0 : OtherZoneCost) - (view.hasPrefix ? PrefixGain : 0);
 }
 
 // How much worse @p a is than @p b. Depths count only when both are known: taken as empty, an unknown one would draw everything.
@@ -30,39 +30,39 @@
     return depths + bias(a) - bias(b);
 }
 
-std::size_t wholeWidth(double width, std::mt19937_64 &random)
+std::size_t roundedWidth(double width, std::mt19937_64 &random)
 {
     const double whole = std::floor(width);
-    return static_cast<std::size_t>(whole) + (chance(random) < width - whole ? 1 : 0);
+    return static_cast<std::size_t>(whole) + (uniformRandom(random) < width - whole ? 1 : 0);
 }
 
 } // namespace
 
 std::optional<std::size_t> chooseReplica(std::span<const ReplicaView> candidates, double width, std::mt19937_64 &random)
 {
-    const std::size_t wanted = std::max<std::size_t>(wholeWidth(width, random), 1);
-    std::vector<std::size_t> open;
+    const std::size_t count = std::max<std::size_t>(roundedWidth(width, random), 1);
+    std::vector<std::size_t> eligible;
     std::optional<std::size_t> skipped;
-    for (std::size_t i = 0; i < candidates.size() && open.size() < wanted; ++i) {
+    for (std::size_t i = 0; i < candidates.size() && eligible.size() < count; ++i) {
         const ReplicaView &view = candidates[i];
         if (view.isTried || view.share <= 0) {
             continue;
         }
-        if (view.share < 1 && chance(random) >= view.share) {
+        if (view.share < 1 && uniformRandom(random) >= view.share) {
             skipped = skipped.value_or(i);
             continue;
         }
-        open.push_back(i);
+        eligible.push_back(i);
     }
-    if (open.empty()) {
+    if (eligible.empty()) {
         return skipped;
     }
-    const std::size_t first = std::uniform_int_distribution<std::size_t>(0, open.size() - 1)(random);
-    if (open.size() == 1) {
-        return open[first];
+    const std::size_t first = std::uniform_int_distribution<std::size_t>(0, eligible.size() - 1)(random);
+    if (eligible.size() == 1) {
+        return eligible[first];
     }
-    const std::size_t other = (first + std::uniform_int_distribution<std::size_t>(1, open.size() - 1)(random)) % open.size();
-    return difference(candidates[open[first]], candidates[open[other]]) <= 0 ? open[first] : open[other];
+    const std::size_t other = (first + std::uniform_int_distribution<std::size_t>(1, eligible.size() - 1)(random)) % eligible.size();
+    return difference(candidates[eligible[first]], candidates[eligible[other]]) <= 0 ? eligible[first] : eligible[other];
 }
 
 } // namespace ApricotStep
--- a/coordination/residencytable.cpp
+++ b/coordination/residencytable.cpp
@@ -10,7 +10,7 @@
 {
 
 // Tokens order the rows of one start only: an engine that starts anew in another shard gets a holder whose token may be lower.
-auto order(const EngineResidency &residency)
+auto versionOf(const EngineResidency &residency)
 {
     return std::tuple(residency.startedAt, residency.fence, residency.sequence);
 }
@@ -19,11 +19,11 @@
 
 bool ResidencyTable::put(const EngineResidency &residency)
 {
-    const auto at = m_rows.find(residency.engine);
-    if (at != m_rows.end() && order(at->second) >= order(residency)) {
+    const auto at = m_residencies.find(residency.engine);
+    if (at != m_residencies.end() && versionOf(at->second) >= versionOf(residency)) {
         return false;
     }
-    m_rows[residency.engine] = residency;
+    m_residencies[residency.engine] = residency;
     absl::erase_if(m_missing, [&residency](const auto &entry) { return entry.first.first == residency.engine; });
     return true;
 }
@@ -35,14 +35,14 @@
 
 void ResidencyTable::remove(const UpstreamId &engine)
 {
-    m_rows.erase(engine);
+    m_residencies.erase(engine);
     absl::erase_if(m_missing, [&engine](const auto &entry) { return entry.first.first == engine; });
 }
 
 const EngineResidency *ResidencyTable::residency(const UpstreamRecord &record) const
 {
-    const auto at = m_rows.find(record.id);
-    return at != m_rows.end() && at->second.startedAt == record.startedAt ? &at->second : nullptr;
+    const auto at = m_residencies.find(record.id);
+    return at != m_residencies.end() && at->second.startedAt == record.startedAt ? &at->second : nullptr;
 }
 
 std::optional<AdapterCopy> ResidencyTable::copy(const UpstreamRecord &record, const AdapterRef &adapter) const
--- a/coordination/residencytable.h
+++ b/coordination/residencytable.h
@@ -49,7 +49,7 @@
     const EngineResidency *residency(const UpstreamRecord &record) const;
 
 private:
-    absl::btree_map<UpstreamId, EngineResidency> m_rows;
+    absl::btree_map<UpstreamId, EngineResidency> m_residencies;
     absl::btree_map<std::pair<UpstreamId, AdapterRef>, bool> m_missing;
 };
 
--- a/tests/coordination/testspread.cpp
+++ b/tests/coordination/testspread.cpp
@@ -77,7 +77,7 @@
         spread.onArrival(adapter(i), Time(i * 1000));
         spread.onEnd(adapter(i), Time(i * 1000 + 100));
     }
-    cr_assert_leq(spread.watchedCount(), 100);
+    cr_assert_leq(spread.trackedCount(), 100);
 }
 
 Test(replicachoice, aKnownDeepQueueIsAvoidedAndLoadIsSharedEvenly)
