--- a/coordination/adapterloadestimator.cpp
+++ b/coordination/adapterloadestimator.cpp
@@ -12,34 +12,37 @@
 namespace
 {
 
-// Drops remembered of each engine; adapters dropped longer ago are not expected at hand, whatever it could keep.
+// Drops tracked for each engine. Adapters dropped longer ago are not expected to be cached, whatever the size of the cache.
 constexpr std::uint32_t MaxDropsTracked = 512;
-// Before a load's time is known, it is asked about at this moment and then each time a fifth later: what is found is a fifth off at most.
+// While the load time is unknown, a load is polled after this delay and then each time a fifth later, so the observed time is at most a
+// fifth too long.
 constexpr Duration InitialPollDelay { 30 };
 constexpr double PollDelayGrowth = 1.2;
-// A load at hand is ten times as fast as a fetch; taken while none has been seen.
+// Cached loads are ten times as fast as fetches; used until a cached load has been observed.
 constexpr double CachedTimeRatio = 0.1;
-// The moment of the question follows the loads: down a little with each that was done at the first question, up towards the time of each
-// that was not. So about one load in eight is asked about twice, and none waits long after it is done.
+// The delay of the first poll adapts to the loads: each load that was done at the first poll lowers it slightly, each other one raises it
+// towards the load's time. About one load in eight is polled twice, and none waits long after it is done.
 constexpr double StartupDecrease = 0.95;
 constexpr double TypicalDecrease = 0.995;
 constexpr double TypicalIncreaseRate = 0.25;
 constexpr int StartupLoads = 32;
-// Questions come no sooner than this part of the shortest time, however often loads were done at the first one: some were at hand.
+// Lower bound of the first poll's delay as a fraction of the shortest fetch, since some of the loads that were done at the first poll were
+// cached.
 constexpr double MinPollRatio = 0.9;
-// A later question comes after this part of the usual time, but not sooner than the answer to the last one can be acted upon.
+// Later polls follow after this fraction of the typical time, but not before the answer to the previous poll can be acted upon.
 constexpr double RepollRatio = 0.125;
 constexpr Duration MinRepollDelay { 6 };
-// More than any store is asked for at once; a forged message must not lift the window beyond it.
+// Above the number of concurrent requests to any store; limits the window that a forged message can set.
 constexpr double MaxWindow = 10'000;
-// A load that is at hand with a greater chance is treated as one.
+// A load counts as cached if the probability is greater than this.
 constexpr double ExpectedCachedThreshold = 0.5;
-// Part by which one load moves the chance of its age.
+// Weight of one load in the hit rate of its age class.
 constexpr double HitRateStep = 0.15;
-// What is thought not to be at hand is asked about too late to tell; so the chance of its age rises by this much with each, until one is
-// asked about early again.
+// Loads that are expected to miss the cache are polled too late to tell whether they hit it. Each of them therefore raises the hit rate of
+// its age class by this much, until one is polled early again.
 constexpr double HitRateRecovery = 0.01;
-// A load at hand that is not done at the first question is asked about once more after as long again; then it counts as a fetch.
+// A load that is expected to be cached and is not done at the first poll is polled once more after the same delay; then it counts as a
+// fetch.
 constexpr int EarlyPolls = 2;
 
 bool contains(const std::vector<std::uint64_t> &keys, std::uint64_t key)
@@ -89,7 +92,7 @@
         listed.push_back(key);
         const bool wasReady = contains(engine.ready, key);
         updateCopy(engine, key, copy.isReady, wasReady, residency.fence, now);
-        // A copy that was in place and is asked about again has not left.
+        // A copy that was ready and is being polled again has not been dropped.
         if (copy.isReady || wasReady) {
             ready.push_back(key);
         }
@@ -99,7 +102,7 @@
             drop(engine, key);
         }
     }
-    // Loads that failed, or that the next holder found no trace of.
+    // Removes loads that failed or that the next lease holder did not find.
     std::erase_if(engine.loads, [this, &listed](const Load &load) {
         const bool isOver = !contains(listed, load.adapter);
         m_fetchesInFlight -= isOver && !load.isExpectedCached ? 1 : 0;
@@ -152,7 +155,7 @@
     const double fetches = (load.fetchesAtBegin + m_fetchesInFlight) / 2;
     m_fetchesInFlight -= load.isExpectedCached ? 0 : 1;
     const double slowdown = m_minFetchMs > 0 ? static_cast<double>((now - load.beganAt).milliseconds()) / m_minFetchMs : 0;
-    // The next holder asks anew about what it finds under way; the time is then that of the change.
+    // The next lease holder polls the loads in flight again, so the time until now would include the handover.
     if (fence != load.fence || slowdown == 0 || slowdown > m_limits.maxCredibleRatio) {
         return;
     }
@@ -176,14 +179,15 @@
     m_nextLoadTime = (m_nextLoadTime + 1) % MaxLoadTimes;
 }
 
-// Engines that have run for longer than this node hold adapters at hand that it does not know of. It may see those first and take their
-// time for that of a fetch; every real fetch then seems slowed down, and the window shrinks to nothing. So where the times fall into two
-// sorts, the longer one is that of the fetches. A time that is too long does less harm: it only lets more fetches share the store.
+// Engines that have run for longer than this node have adapters cached that it does not know of. If the first observed loads are cached
+// ones, their time is taken for that of a fetch; every real fetch then seems slowed down, and the window shrinks to its minimum. Where the
+// observed times fall into two groups, the longer ones are therefore taken for the fetches. A fetch time that is too long does less harm:
+// it only lets more fetches share the store.
 void AdapterLoadEstimator::correctMinFetchTime()
 {
     std::vector<double> sorted = m_loadTimesMs;
     std::sort(sorted.begin(), sorted.end());
-    // One long time alone may be of a node that slept.
+    // A single long time may come from a node that was suspended.
     for (std::size_t i = 1; i + 1 < sorted.size(); ++i) {
         if (sorted[i] >= sorted[i - 1] * m_limits.minGapRatio && m_minFetchMs < sorted[i] / m_limits.minGapRatio) {
             m_minFetchMs = sorted[i];
@@ -205,9 +209,9 @@
     const auto loadMs = std::max(static_cast<double>(load.duration.milliseconds()), 1.0);
     const auto at = m_engines.find(load.engine);
     const bool isStartup = m_completedFetches < StartupLoads;
-    // Done at the first question, it may have been done for long: at hand, if the engine can have it there.
-    const bool hasKnownStart = load.unfinishedPolls > 0 || (at != m_engines.end() && at->second.wasSeenEmpty && !load.wasExpectedCached);
-    if (hasKnownStart) {
+    // A load that was done at the first poll may have been done long before if the engine may have had it cached.
+    const bool hasLowerBound = load.unfinishedPolls > 0 || (at != m_engines.end() && at->second.wasSeenEmpty && !load.wasExpectedCached);
+    if (hasLowerBound) {
         recordLoadTime(loadMs);
         correctMinFetchTime();
     }
@@ -219,7 +223,7 @@
         return;
     }
     ++m_completedFetches;
-    if (hasKnownStart) {
+    if (hasLowerBound) {
         m_minFetchMs *= 1 + m_limits.minFetchTimeDecay * std::max((now - m_minFetchAt).toSeconds(), 0.0);
         m_minFetchMs = m_minFetchMs == 0 ? loadMs : std::min(m_minFetchMs, loadMs);
         m_minFetchAt = now;
@@ -239,7 +243,7 @@
     m_typicalCachedMs = static_cast<double>(std::max(view.typicalCachedLoadTime, Duration(0)).milliseconds());
     m_window = std::clamp(view.maxConcurrentFetches, m_limits.minWindow, MaxWindow);
     m_hasSeenContention = view.hasSeenContention;
-    // The other may have been misled; its time stands beside the ones that this node sees.
+    // The adopted time may be wrong, so it is kept next to the times that this node observes.
     recordLoadTime(m_minFetchMs);
 }
 
@@ -264,7 +268,7 @@
 void AdapterLoadEstimator::adjustWindow(double fetches, double slowdown)
 {
     if (slowdown < m_limits.contentionRatio) {
-        // Fewer under way than are allowed show nothing of what the store bears.
+        // With fewer fetches in flight than half of the window, nothing is learnt about what the store sustains.
         if (fetches * 2 >= m_window) {
             m_window += m_hasSeenContention ? m_limits.windowIncrease : 1;
         }
@@ -301,7 +305,7 @@
         return Duration(static_cast<std::int64_t>(m_typicalFetchMs));
     }
     const double typicalMs = m_typicalCachedMs > 0 ? m_typicalCachedMs : m_typicalFetchMs * CachedTimeRatio;
-    // The last early question must come before a load counts as a fetch.
+    // The last early poll must come before a load counts as a fetch.
     const double latestMs = m_typicalFetchMs * m_limits.cachedMaxRatio / EarlyPolls;
     return Duration(static_cast<std::int64_t>(std::min(typicalMs, latestMs)));
 }
@@ -324,7 +328,7 @@
 {
     const auto at = m_engines.find(id);
     if (at == m_engines.end()) {
-        return 0; // Nobody has told of it yet.
+        return 0; // No residency has been received yet.
     }
     const std::uint32_t age = ageOf(at->second, stableHash(adapter.model.value(), adapter.adapter.value()));
     return age == 0 ? 0 : hitRate(age);
--- a/coordination/adapterloadestimator.h
+++ b/coordination/adapterloadestimator.h
@@ -15,84 +15,101 @@
 namespace ApricotStep
 {
 
-// Load pattern: half of the requests ask for an adapter that stands nowhere, and all engines fetch from one weight store. It keeps its full
-// speed up to some number of fetches and slows all of them down beyond; an engine loads what it held lately ten times as fast. Nothing
-// publishes how many fetches the store bears, how long one takes or how much an engine keeps at hand.
-// With a fixed figure that is too low, requests wait in line for a store that is idle, and callers get late answers; with one that is too
-// high, an urgent load shares the store with dozens of others. So the figures are read off the loads themselves: each is seen to begin and
-// to end in the rows that holders of orders tell. A fetch that takes longer than the shortest one shows that the store is shared.
+// Estimates the state of the weight store from the loads themselves.
+//
+// Half of the requests may ask for an adapter that is loaded on no engine, and all engines fetch from one weight store. The store keeps its
+// full speed up to some number of concurrent fetches and slows all of them down beyond it; an engine loads an adapter that it held recently
+// ten times as fast, from its host memory. Neither the store nor the engines publish how many fetches the store sustains, how long one
+// takes or how many adapters an engine caches.
+//
+// With a fixed concurrency limit that is too low, requests queue for an idle store and callers get late answers; with one that is too high,
+// an urgent load shares the store with dozens of others. The parameters are therefore derived from observed loads, whose begin and end
+// appear in the residencies that lease holders send. A fetch that takes longer than the shortest one shows contention at the store.
 
 struct AdapterLoadEstimatorLimits
 {
     /**
-     * Fetches at once before any has been seen to end; doubles with each load time while they are not slowed down. Were the first ones to
-     * slow each other down, nobody would know the time of a fetch that is not.
+     * Concurrent fetches allowed before the first one has ended; doubles with each load time while no contention is seen. It is small
+     * because fetches that slow each other down from the start would hide the uncontended fetch time.
      */
     double initialWindow = 4;
-    /** Never fewer than this, or a store that turned slow for a moment would not be found fast again. */
+    /** Lower bound of the window, so that a store that was slow for a moment is found to be fast again. */
     double minWindow = 2;
-    /** A fetch that takes this many times the shortest one was slowed down by others; below it the questions' own grid blurs the time. */
+    /**
+     * A fetch that takes at least this many times the shortest one was slowed down by others. Smaller differences are lost in the
+     * granularity of polling.
+     */
     double contentionRatio = 1.4;
-    /** How far the window moves towards what the store seems to bear, with each slowed fetch. */
+    /** Fraction of the distance to the sustainable number of fetches by which each slowed fetch shrinks the window. */
     double windowDecrease = 0.125;
-    /** By how many fetches the window grows with each that was not slowed down, once one was. */
+    /** Number of fetches by which each fetch that was not slowed down grows the window, once contention has been seen. */
     double windowIncrease = 0.25;
-    /** Loads at hand are ten times as fast as fetches; one thought to be at hand was, if it took less than this part of the shortest fetch.
+    /**
+     * A load that was expected to be cached counts as cached if it took less than this fraction of the shortest fetch. Cached loads are ten
+     * times as fast as fetches.
      */
     double cachedMaxRatio = 0.6;
-    /** The same for loads that nobody thought to be at hand, as those of engines that have run for longer than this node. */
+    /** The same for loads that were not expected to be cached, such as on engines that have run for longer than this node. */
     double unexpectedCachedMaxRatio = 0.35;
-    /** Between the times of loads at hand and of fetches lies a gap of this factor at least, and more than two fetches differ by. */
+    /** Cached loads and fetches differ in time by at least this factor; two fetches differ by less. */
     double minGapRatio = 2.5;
-    /** The shortest time is forgotten by this part a second: a store may become slower for good. */
+    /** Fraction by which the shortest fetch time grows each second, since a store may become slower for good. */
     double minFetchTimeDecay = 0.001;
-    /** Times beyond this many of the shortest one are of lost datagrams or dead holders, and say nothing of the store. */
+    /** Times of more than this many shortest fetches come from lost datagrams or crashed lease holders and say nothing about the store. */
     double maxCredibleRatio = 8;
-    /** Taken for a fetch's time before any has been seen; only weighs where the first loads go. */
+    /** Assumed fetch time before any fetch has been observed; only affects where the first loads are placed. */
     Duration initialFetchTime { 250 };
 };
 
-/** A load that is done at an engine which this node orders. */
+/** A load that has completed on an engine which this node gives orders to. */
 struct CompletedLoad
 {
     UpstreamId engine;
-    /** From the order to the answer that it is done. */
+    /** From the order to the answer that the load is done. */
     Duration duration;
-    /** How often the engine had said that it is not. */
+    /** Number of polls that found the load unfinished. */
     int unfinishedPolls = 0;
     bool wasExpectedCached = false;
 };
 
-/** Observes how long loads of adapters take, how many the weight store bears, and what engines keep at hand. Not thread-safe. */
+/**
+ * Estimates how long loads of adapters take, how many concurrent fetches the weight store sustains, and what engines have cached. Not
+ * thread-safe.
+ */
 class AdapterLoadEstimator
 {
 public:
     explicit AdapterLoadEstimator(AdapterLoadEstimatorLimits limits = {});
 
-    /** @p residency is news; rows of one engine come in their order. */
+    /** Handles an accepted residency update; updates of one engine must come in their order. */
     void onResidency(const EngineResidency &residency, Time now);
-    /** Rows of other holders may be lost and then tell a time that is far off, so only loads that this node ordered set the times. */
+    /**
+     * Updates the load times. Only loads that this node ordered count: updates of other lease holders may be lost, which makes the observed
+     * times wrong.
+     */
     void onLoadCompleted(const CompletedLoad &load, Time now);
-    /** What another node has seen; taken only while this one has seen nothing itself. */
+    /** Takes over the observations of another node, unless this node has observed a fetch itself. */
     void adopt(const StoreView &view, Time now);
-    /** For the others; empty while no fetch has been seen. */
+    /** The observations to send to other nodes; empty before any fetch has been observed. */
     std::optional<StoreView> view() const;
-    /** The engine is gone. */
     void remove(const UpstreamId &engine);
 
-    /** How many fetches may be under way from the store, over all engines. */
+    /** Limit of concurrent fetches from the store, over all engines. */
     int maxConcurrentFetches() const;
-    /** Loads under way that are thought to come from the store. */
+    /** Loads in flight that are expected to come from the store. */
     int fetchesInFlight() const;
-    /** What a fetch takes that is not slowed down by others. */
+    /** Time of a fetch without contention. */
     Duration minFetchTime() const;
-    /** How long after its order to ask whether a load is done. @p isCached: the engine is thought to have it at hand. */
+    /**
+     * Delay between the order to load and the first poll for its completion. @p isCached: the engine is expected to have the adapter
+     * cached.
+     */
     Duration firstPollDelay(bool isCached) const;
-    /** How long after an answer that it is not to ask again: the @p unfinishedPolls -th, @p elapsed after the order. */
+    /** Delay until the next poll, after @p unfinishedPolls polls that found the load unfinished and @p elapsed since the order. */
     Duration nextPollDelay(Duration elapsed, int unfinishedPolls, bool isCached) const;
-    /** How likely @p engine still has @p adapter, which it does not hold now, at hand: 0 to 1. */
+    /** Probability, 0 to 1, that @p engine has @p adapter cached, which is not loaded there now. */
     double cacheHitProbability(const UpstreamId &engine, const AdapterRef &adapter) const;
-    /** Whether a load of @p adapter at @p engine is expected not to burden the store. */
+    /** Whether a load of @p adapter on @p engine is expected to need no fetch from the store. */
     bool isExpectedCached(const UpstreamId &engine, const AdapterRef &adapter) const;
 
 private:
@@ -102,18 +119,21 @@
         Time beganAt;
         FencingToken fence;
         double fetchesAtBegin = 0;
-        /** Adapters dropped by the engine since it last held this one; 0 when it never did. */
+        /** Number of adapters that the engine has dropped since it held this one, this one included; 0 if it never held it. */
         std::uint32_t age = 0;
         bool isExpectedCached = false;
     };
     struct Engine
     {
         std::int64_t startedAt = 0;
-        /** It was empty when it was first seen; else it may have at hand what this node never saw there. */
+        /**
+         * No adapter was loaded on the engine when this node first saw it. Otherwise it may have cached adapters that this node does not
+         * know of.
+         */
         bool wasSeenEmpty = false;
         std::vector<std::uint64_t> ready;
         std::vector<Load> loads;
-        /** The number of the drop after which each adapter was no longer held. */
+        /** For each adapter that was dropped, the value of dropCount at that drop. */
         absl::flat_hash_map<std::uint64_t, std::uint32_t> dropNumbers;
         std::uint32_t dropCount = 0;
     };
@@ -130,24 +150,24 @@
     static std::uint32_t ageOf(const Engine &engine, std::uint64_t adapter);
 
     static constexpr std::size_t MaxLoadTimes = 32;
-    /** One for each doubling of the age. */
+    /** One class for each doubling of the age. */
     static constexpr std::size_t AgeClassCount = 12;
-    /** The age of adapters that an engine may have held before this node saw it; in a class of its own. */
+    /** Age of adapters that an engine may have held before this node first saw it; has a class of its own. */
     static constexpr std::uint32_t UnknownAge = 1U << (AgeClassCount - 2);
 
     AdapterLoadEstimatorLimits m_limits;
     absl::flat_hash_map<UpstreamId, Engine> m_engines;
-    /** Loads under way that are thought to come from the store. */
+    /** Loads in flight that are expected to come from the store. */
     int m_fetchesInFlight = 0;
-    /** 0 before any fetch was seen. */
+    /** 0 before any fetch has been observed. */
     double m_minFetchMs = 0;
-    /** When it was last seen or forgotten a little. */
+    /** When m_minFetchMs was last observed or decayed. */
     Time m_minFetchAt;
     int m_completedFetches = 0;
-    /** Times of the last loads that this node ordered, ms; those whose time is known to be no shorter. */
+    /** Ring buffer of the latest times of loads that this node ordered, in ms; only times with a known lower bound. */
     std::vector<double> m_loadTimesMs;
     std::size_t m_nextLoadTime = 0;
-    /** After this time most fetches and most loads at hand are done, ms; 0 while none has been seen. */
+    /** Most fetches and most cached loads are done after these times, in ms; 0 before any has been observed. */
     double m_typicalFetchMs = 0;
     double m_typicalCachedMs = 0;
     double m_window;
--- a/coordination/adapterplan.cpp
+++ b/coordination/adapterplan.cpp
@@ -17,13 +17,13 @@
 {
 
 enum class CopyState {
-    /** An order to load it is to be given, or its answer is awaited. */
+    /** The order to load it is being sent, or its answer is awaited. */
     Ordered,
     Loading,
     Ready,
-    /** In place as far as anybody knows; the engine is asked whether it is. Requests go there meanwhile. */
+    /** Believed to be loaded; the engine is polled to verify it. Requests are sent to it meanwhile. */
     Verifying,
-    /** An order to drop it is on its way. */
+    /** The order to unload it is in flight. */
     Unloading,
 };
 
@@ -31,17 +31,17 @@
 {
     AdapterVersion version;
     CopyState state = CopyState::Ready;
-    /** The present state's begin. */
+    /** When the present state began. */
     Time since;
-    /** When the engine is asked (again) whether the load is done. */
+    /** When to poll the engine for the outcome of the order. */
     Time nextPollAt = Time::never();
-    /** When the engine's last answer about it came: reports from before say nothing of it. */
+    /** When the engine last answered about this copy; earlier reports say nothing about it. */
     Time lastAnswerAt;
-    /** An order about it is on its way. */
+    /** An order about this copy is awaiting its answer. */
     bool hasOrderInFlight = false;
-    /** Its load, if it is one, is thought not to burden the store. */
+    /** The load is expected to need no fetch from the store. */
     bool isCached = false;
-    /** Of a load that this plan ordered: when, and how often the engine has said that it is not done. */
+    /** For a load that this plan ordered: when, and how many polls found it unfinished. */
     std::optional<Time> orderedAt;
     int unfinishedPolls = 0;
 };
@@ -51,23 +51,23 @@
     PlannedEngine planned;
     UpstreamId id;
     std::uint64_t idHash = 0;
-    /** The start of the engine that this speaks of. */
+    /** The start of the engine that these fields refer to. */
     std::int64_t startedAt = 0;
-    /** The row that this was last taken from, of an engine that another plan orders. */
+    /** Fence and sequence of the residency last applied, for an engine of another plan. */
     std::pair<FencingToken, std::uint64_t> residencyVersion;
     std::map<AdapterRef, Copy> copies;
-    /** Base models on their way, since when. */
+    /** Base models being loaded, and since when. */
     std::map<BaseModelId, Time> loadingModels;
     std::vector<BaseModelId> models;
     Time reportPolledAt;
-    /** It gave no answer to an order; until then it counts as down. */
+    /** The engine left an order unanswered and counts as down until then. */
     Time unresponsiveUntil;
-    /** A report has come since this plan knows of the engine; before, its places are a guess. */
+    /** A report has come since this plan knows the engine; before, the number of its copies is uncertain. */
     bool hasReport = false;
-    /** When copies were dropped: reports from before still list them. */
+    /** When copies were unloaded: earlier reports still list them. */
     std::map<AdapterRef, Time> droppedAt;
     bool isChanged = true;
-    /** The copy that would yield first, once it has been asked for in this round. */
+    /** The copy to evict first, cached for the present round once it has been computed. */
     std::optional<std::optional<AdapterRef>> evictionCandidate;
 };
 
@@ -82,12 +82,12 @@
     std::map<AdapterRef, AdapterVersion> versions;
     FleetDemand demand;
     PlanRotation rotation;
-    /** Adapters on their way from the store to all engines, in this round. */
+    /** Adapters being fetched from the store by all engines, in this round. */
     int fetchesInFlight = 0;
     /**
-     * Rows told, of all engines together. Counted for each engine, an engine that starts again under its id would begin at one, and all
-     * nodes would take its rows for older ones than those of its former start: they send to copies that are gone until the count has caught
-     * up.
+     * Number of residencies announced, over all engines. With a count per engine, an engine that restarts under the same id would begin at
+     * one, and all nodes would drop its residencies as older than those of its previous start. They would send requests to copies that are
+     * gone until the count has caught up.
      */
     std::uint64_t lastSequence = 0;
 
@@ -149,14 +149,14 @@
         std::count_if(engine.copies.begin(), engine.copies.end(), [](const auto &entry) { return isInFlight(entry.second); }));
 }
 
-// An engine that is ordered beyond its places crashes. What the plan counts is never less than what stands there, so an order to load, also
-// one that only asks whether a copy is still there, is safe as long as the count fits.
+// An engine that is ordered beyond its slots crashes. The plan never counts fewer copies than the engine has, so an order to load, even one
+// that only polls for a copy, is safe as long as the count fits.
 bool AdapterPlan::Private::mayExceedSlots(const Engine &engine)
 {
     return !engine.hasReport || static_cast<int>(engine.copies.size()) > engine.planned.spec->adapterSlots;
 }
 
-// What so many fetches take, ms.
+// The time of @p count fetches in ms.
 double AdapterPlan::Private::fetchTimeMs(double count) const
 {
     return count * static_cast<double>(loads.minFetchTime().milliseconds());
@@ -184,7 +184,7 @@
     return at == versions.end() ? AdapterVersion() : at->second;
 }
 
-// A crashed engine stays listed for some seconds, with its copies; requests that wait for them wait for nothing.
+// A crashed engine and its copies stay listed for some seconds, and requests must not wait for those copies.
 bool AdapterPlan::Private::isUnavailable(const Engine &engine, Time now)
 {
     return now < engine.unresponsiveUntil || !engine.planned.isReachable || engine.planned.share <= 0;
@@ -212,7 +212,7 @@
     return least;
 }
 
-// Each want is weighed against each engine; without this, each engine's copies would be gone through once for each want.
+// Caches victim() for the round, since every pending adapter is compared with every engine.
 const std::optional<AdapterRef> &AdapterPlan::Private::evictionCandidate(Engine &engine, Time now) const
 {
     if (!engine.evictionCandidate) {
@@ -221,7 +221,7 @@
     return *engine.evictionCandidate;
 }
 
-// Empty when the engine cannot take it now.
+// Returns nothing if the engine cannot load the adapter now.
 std::optional<double> AdapterPlan::Private::placementCost(Engine &engine, const AdapterRef &adapter, Time now) const
 {
     const bool isExcluded = isUnavailable(engine, now) || !engine.hasReport || !engine.planned.hasHolder || engine.planned.spec == nullptr
@@ -232,7 +232,7 @@
     double cost = expectedWaitMs(engine) / std::max(engine.planned.share, 0.1)
         - loads.cacheHitProbability(engine.id, adapter) * fetchTimeMs(limits.cachedGain);
     if (static_cast<int>(engine.copies.size()) < engine.planned.spec->adapterSlots) {
-        // Free places are filled evenly: an engine with few copies gets few requests.
+        // Free slots are filled evenly, since an engine with few copies gets few requests.
         return cost
             + fetchTimeMs(limits.evictionCost) * static_cast<double>(engine.copies.size()) / std::max(engine.planned.spec->adapterSlots, 1);
     }
@@ -265,8 +265,8 @@
     actions.emplace_back(SendOrder { loadOrder(id, adapter) });
 }
 
-// The engine where all plans would rather have the adapter, now and after a restart of every node. Without it nobody knows then which
-// engine has what at hand, and each adapter is fetched again to another place.
+// Returns the engine that all plans prefer for the adapter. The choice stays the same after a restart of all nodes, when no node knows what
+// the engines have cached; without it each adapter would be fetched again to another engine.
 const UpstreamId *AdapterPlan::Private::preferredEngineOf(const AdapterRef &adapter, Time now) const
 {
     const std::uint64_t adapterHash = stableHash(adapter.model.value(), adapter.adapter.value());
@@ -282,12 +282,12 @@
     return preferred;
 }
 
-// @p isReady: copies stand somewhere, so that this would be a further one.
+// @p isReady: the adapter is already loaded on some engine, so this would be another copy.
 void AdapterPlan::Private::place(const PendingAdapter &pending, bool isReady, Time now, std::vector<PlanAction> &actions)
 {
     const bool isStoreBusy = fetchesInFlight >= loads.maxConcurrentFetches();
     const AdapterRef &adapter = pending.adapter;
-    // All plans see nearly the same; so the plan whose engine is the best of all acts, and the others leave it to that one.
+    // All plans compute nearly the same costs, so the plan that owns the cheapest engine acts and the others leave the adapter to it.
     const bool isOnlyOwn = isInRotation(pending, now);
     const UpstreamId *preferred = preferredEngineOf(adapter, now);
     Engine *best = nullptr;
@@ -316,7 +316,7 @@
         beginLoad(bestId, *best, adapter, now, actions);
         return;
     }
-    // The place is free once the engine says so; the want is still there then.
+    // The slot is free once the engine has confirmed the order; the adapter is still pending then.
     const AdapterRef least = *evictionCandidate(*best, now);
     best->evictionCandidate.reset();
     Copy &copy = best->copies[least];
@@ -328,7 +328,8 @@
     actions.emplace_back(SendOrder { unloadOrder(bestId, least) });
 }
 
-// Some node wants an adapter that should be in place: it does not know yet, or the engine lost it. The engine is asked.
+// Some node waits for an adapter that is believed to be loaded: either the node does not know yet or the engine lost the copy. The engine
+// is polled to find out.
 void AdapterPlan::Private::verify(const AdapterRef &adapter, Time now)
 {
     for (auto &[id, engine] : engines) {
@@ -387,7 +388,7 @@
     }
 }
 
-// A want that is still there after a turn was left by the plan whose engine looked best from here.
+// A pending adapter that is left after the rotation interval was skipped by the plan whose engine looks best from here.
 bool AdapterPlan::Private::isInRotation(const PendingAdapter &pending, Time now) const
 {
     const auto rounds = static_cast<std::uint64_t>((now - pending.since).milliseconds() / limits.rotationInterval.milliseconds());
@@ -395,7 +396,7 @@
     return rounds > 0 && (preferred + rounds) % std::max<std::size_t>(rotation.count, 1) == rotation.index;
 }
 
-// Copies of an older version are loaded anew in place; the engine waits for their runs.
+// Copies of an older version are reloaded in place; the engine waits for the requests that run on them.
 void AdapterPlan::Private::reloadOutdated(Time now)
 {
     for (auto &[id, engine] : engines) {
@@ -448,8 +449,9 @@
 void AdapterPlan::Private::announce(std::vector<PlanAction> &actions)
 {
     for (auto &[id, engine] : engines) {
-        // Before its report the plan knows of a part at most. Told as the whole, it would make all nodes forget the other copies, and after
-        // a restart of the whole fleet callers would wait for adapters that stand where the engines' own entries say.
+        // Before its report the plan knows at most a part of the engine's copies. Announced as complete, that part would make all nodes
+        // remove the other copies, and after a restart of all nodes callers would wait for adapters that are loaded according to the
+        // engines' own records.
         if (!engine.planned.isOwn || !engine.isChanged || engine.planned.spec == nullptr || !engine.hasReport) {
             continue;
         }
@@ -491,7 +493,7 @@
         engine.id = id;
         engine.startedAt = planned->record->startedAt;
         engine.planned = *planned;
-        // The caller's record is gone after this call.
+        // The caller's record is only valid during this call.
         engine.planned.record = nullptr;
     }
 }
@@ -511,7 +513,7 @@
     }
     if (const EngineResidency *residency = residencies.residency(*planned.record)) {
         for (const AdapterCopy &copy : residency->copies) {
-            // A load under way is asked about at once; the engine knows.
+            // A load in flight is polled at once.
             const CopyState state = copy.isReady ? CopyState::Ready : CopyState::Loading;
             engine.copies[AdapterRef { copy.model, copy.adapter }] = Copy { copy.version, state, now, now, now, false };
         }
@@ -567,7 +569,7 @@
     d->demand.onPendingAdapters(node, pendingAdapters, now);
 }
 
-// The engine has nothing of what it was ordered to load.
+// Whether the answer means that the engine does not have the adapter that it was ordered to load.
 bool AdapterPlan::Private::isLoadRejected(OrderAnswer answer)
 {
     return answer == OrderAnswer::Fenced || answer == OrderAnswer::WrongEngine || answer == OrderAnswer::Refused;
@@ -597,19 +599,19 @@
     }
     Copy &copy = found->second;
     copy.hasOrderInFlight = false;
-    // A load that is still under way is no news.
+    // A poll that finds a load still unfinished changes nothing.
     engine.isChanged =
         engine.isChanged || copy.state != CopyState::Loading || answer == OrderAnswer::Done || Private::isLoadRejected(answer);
     copy.lastAnswerAt = now;
     if (order.kind == EngineOrder::Kind::Unload) {
         if (answer == OrderAnswer::Accepted) {
-            // It waits for its runs and takes its place until they have ended.
+            // The copy keeps its slot until the requests that run on it have ended.
             copy.nextPollAt = now + d->limits.retryDelay;
         } else if (answer == OrderAnswer::Done) {
             engine.droppedAt[adapter] = now;
             engine.copies.erase(found);
         } else {
-            // In use after all, or nobody knows: it counts as there, and as just used.
+            // The copy is still in use, or the outcome is unknown: it counts as loaded and just used.
             copy.state = CopyState::Ready;
             copy.since = now;
         }
@@ -627,7 +629,7 @@
         break;
     case OrderAnswer::Accepted:
         if (copy.state == CopyState::Verifying) {
-            // It was gone; the question has become the order for it.
+            // The copy was gone, so the poll has become the order to load it.
             copy.orderedAt = now;
             copy.unfinishedPolls = 0;
         }
@@ -697,7 +699,7 @@
         const auto known = engine.copies.find(adapter);
         if (known == engine.copies.end()) {
             if (!engine.droppedAt.contains(adapter)) {
-                // Of a former holder's order. It takes a place all the same.
+                // Loaded by the order of an earlier lease holder; it occupies a slot all the same.
                 const CopyState state = copy.isReady ? CopyState::Ready : CopyState::Loading;
                 engine.copies[adapter] = Copy { copy.version, state, polledAt, polledAt, polledAt, false };
                 engine.isChanged = true;
--- a/coordination/adapterplan.h
+++ b/coordination/adapterplan.h
@@ -15,80 +15,84 @@
 namespace ApricotStep
 {
 
-// Load pattern: thousands of adapters with skewed popularity, a few places an engine, and at every second a third of the requests ask for
-// one that stands nowhere.
-// Without one plan for all engines: two nodes load the same adapter at two engines and evict two others for it; an engine that is ordered
-// beyond its places crashes; and more fetches at once than the weight store bears make all of them slow. One would notice more
-// loads than requests for adapters that stand nowhere.
-// Grounds for the figures: what a load costs is measured in the time of a fetch, which is observed (AdapterLoadEstimator), as is the number
-// of fetches at once. Popularity halves in twenty seconds, some hundred requests of an engine's: long against the pause between two
-// requests of an adapter worth keeping, short against a shift of demand. A fresh copy is not evicted before the requests that it was loaded
-// for have had the time to arrive.
+// Plans the adapters of all engines together.
+//
+// There are thousands of adapters with skewed popularity and a few slots per engine, and at any second a third of the requests may ask for
+// an adapter that is loaded on no engine. Without one plan for all engines, two nodes load the same adapter on two engines and evict two
+// others for it, an engine that is ordered beyond its slots crashes, and more concurrent fetches than the weight store sustains slow all of
+// them down. The symptom would be more loads than requests for adapters that are loaded on no engine.
+//
+// Costs are measured in fetch times, since the time of a fetch and the number of concurrent fetches are observed (AdapterLoadEstimator).
+// Popularity halves in twenty seconds, in which an engine gets some hundred requests: long against the interval between two requests of an
+// adapter worth keeping, short against a shift of demand. A new copy is not evicted before the requests that it was loaded for have had
+// time to arrive.
 
 struct AdapterPlanLimits
 {
-    /** A want that no plan has met for so long goes round among the plans, each having it for this time. */
+    /** A pending adapter that no plan has served for this long is offered to the plans in turn, to each for this long. */
     Duration rotationInterval { 60 };
-    /** Between two looks while something is wanted that cannot be loaded yet, and while nothing is. */
+    /** Time between two decisions while an adapter is pending that cannot be loaded yet, and while none is. */
     Duration pendingDecisionInterval { 25 };
     Duration idleDecisionInterval { 100 };
-    /** Adapters on their way to one engine; the users' engines take no more. */
+    /** Concurrent loads on one engine; the engines accept no more. */
     int maxLoadsPerEngine = 4;
-    /** Before an engine that is busy, or still runs what is to be dropped, is asked again. */
+    /** Delay before an order is repeated to an engine that is busy or still runs requests on the adapter to unload. */
     Duration retryDelay { 50 };
-    /** After an order that had no answer: the engine may be down. */
+    /** The same after an order without an answer, when the engine may be down. */
     Duration noResponseRetryDelay { 400 };
-    /** An engine that left an order unanswered gets no new copies for this long, and those that it has count for nothing. */
+    /** An engine that left an order unanswered gets no new copies for this long, and its copies count as unavailable. */
     Duration unresponsiveTime { 1000 };
-    /** A base model that is not in place after this, on an engine that works on no order, has failed to load. */
+    /** A base model that is not loaded after this long, on an engine that carries out no order, has failed to load. */
     Duration loadTimeout { 4000 };
     Duration popularityHalfLife = Duration::seconds(20);
-    /** A copy stays at least so long. */
+    /** Minimum time between loading and evicting a copy. */
     Duration minResidenceTime { 500 };
-    /** An engine is asked for its report this often. */
+    /** Interval between polls of an engine's report. */
     Duration reportInterval { 1000 };
-    /** A report says nothing of orders younger than this: engines report late. */
+    /** Orders younger than this may be missing from a report, since engines report late. */
     Duration reportLag { 600 };
-    /** Base models on their way at once: each gets the full speed of the store. */
+    /** Concurrent loads of base models, each of which gets the full speed of the store. */
     int maxModelLoads = 2;
-    /** Tokens of prompts that an engine reads in a millisecond, to compare work that waits with work that runs. */
+    /** Prompt tokens that an engine processes per millisecond; converts waiting prompts to time. */
     double promptTokensPerMs = 38;
-    /** What one running request adds to another's wait, ms: its part of a batch step. */
+    /** Time in ms that one running request adds to the wait of another: its share of a batch step. */
     double runningCostMs = 4;
-    /** What a unit of evicted popularity costs, in fetches: the load that follows, by the chance that one follows. */
+    /** Cost of evicting a unit of popularity, in fetch times: the time of the reload times the probability that it is needed. */
     double evictionCost = 0.1;
-    /** What a load of an adapter that the engine has at hand saves, in fetches: its own time, and a place in the line of all others. */
+    /**
+     * What loading an adapter that the engine has cached saves, in fetch times: its own fetch, and the queueing of all others behind it.
+     */
     double cachedGain = 2.8;
     /**
-     * What a load at the adapter's home is worth, in fetches: it may be at hand there without anybody knowing. Less than what is known to
-     * be at hand is worth, and enough to outweigh some requests ahead.
+     * What loading on the adapter's preferred engine is worth, in fetch times, since that engine may have it cached without any node
+     * knowing. Less than a known cache hit, but enough to outweigh some queued requests.
      */
     double preferredEngineGain = 0.6;
-    /** What a second copy of an adapter must save of a first token's wait, in fetches. */
+    /** How much of the wait for a first token another copy of an adapter must save, in fetch times. */
     double extraCopyGain = 1.2;
 };
 
-/** Give this order; the answer goes to onOrderAnswer(). */
+/** Send this order; the answer goes to onOrderAnswer(). */
 struct SendOrder
 {
     EngineOrder order;
 };
-/** Ask this engine for a report; it goes to onReport(). */
+/** Poll this engine for a report, which goes to onReport(). */
 struct RequestEngineReport
 {
     UpstreamId engine;
 };
-/** Tell all nodes. */
+/** Send this engine residency to all nodes. */
 struct AnnounceResidency
 {
     EngineResidency residency;
 };
 using PlanAction = std::variant<SendOrder, RequestEngineReport, AnnounceResidency>;
 
-/** Which wants this plan meets when no plan has met them. */
+/** The position of a plan in the rotation that serves pending adapters which no plan has served. */
 struct PlanRotation
 {
-    /** This plan's place among the plans that are active now, and their number. */
+    /** Position among the plans that are active now, and their number. */
     std::size_t index = 0;
     std::size_t count = 1;
 };
@@ -96,46 +100,48 @@
 /** An engine as the plan sees it. */
 struct PlannedEngine
 {
-    /** Read in setEngines() only. */
+    /** Only valid during setEngines(). */
     const UpstreamRecord *record = nullptr;
     const EngineSpec *spec = nullptr;
     double running = 0;
     double pendingTokens = 0;
-    /** 0 when the engine fails, 1 when it is well. */
+    /** Fraction of its traffic that the engine can take: 0 when it fails, 1 when it is healthy. */
     double share = 1;
-    /** This plan orders it; the others are known by their rows. */
+    /** This plan gives orders to the engine; other engines are known by their residencies. */
     bool isOwn = true;
-    /** Somebody gives it orders now. */
+    /** Some lease holder gives orders to it now. */
     bool hasHolder = true;
-    /** Connections to it could be made lately. */
+    /** Recent connections to it succeeded. */
     bool isReachable = true;
 };
 
-/** Decides which engine holds which adapters. Runs only at the node that may give orders. Not thread-safe. */
+/** Decides which engine holds which adapters. Runs only on the node that holds the lease. Not thread-safe. */
 class AdapterPlan
 {
 public:
-    /** @p fence: the token under which rows are announced. @p loads outlives the plan; it hears of the rows of all engines, this plan's
-     * too. */
+    /**
+     * @p fence: fencing token of the announced residencies. @p loads must outlive the plan and must be given the residencies of all
+     * engines, those that this plan announces included.
+     */
     AdapterPlan(AdapterPlanLimits limits, FencingToken fence, AdapterLoadEstimator &loads);
     ~AdapterPlan();
 
-    /** The engines that there are now. @p residencies tells what stands at those that are new to this plan. */
+    /** Sets the present engines. @p residencies gives the residency of engines that are new to this plan. */
     void setEngines(const std::vector<PlannedEngine> &engines, const ResidencyTable &residencies, Time now);
-    /** How wants that nobody has met are dealt out among the plans of all shards. */
+    /** Sets this plan's position in the rotation over the plans of all shards. */
     void setRotation(PlanRotation rotation);
-    /** @p version of @p adapter is the newest. */
+    /** Sets @p version as the newest version of @p adapter. */
     void setVersion(const AdapterRef &adapter, const AdapterVersion &version);
-    /** What @p node runs and waits for; replaces what it said before. */
+    /** Replaces what @p node runs and waits for. */
     void onUses(const NodeId &node, const std::vector<AdapterUse> &uses, Time now);
-    /** What @p node waits for now; what it runs stays as it said before. */
+    /** Replaces what @p node waits for; what it runs stays as last reported. */
     void onPendingAdapters(const NodeId &node, const std::vector<AdapterUse> &pendingAdapters, Time now);
     void onOrderAnswer(const EngineOrder &order, OrderAnswer answer, Time now);
-    /** @p polledAt: when the report was asked for. */
+    /** @p polledAt: when the report was requested. */
     void onReport(const UpstreamId &engine, const EngineReport &report, Time polledAt);
-    /** What to do now; call it after each event and at nextDecisionTime(). */
+    /** Returns the actions to carry out now. To be called after each event and at nextDecisionTime(). */
     std::vector<PlanAction> decide(Time now);
-    /** When to call decide() again if nothing happens before. */
+    /** When to call decide() again if no event comes before. */
     Time nextDecisionTime(Time now) const;
 
 private:
