--- a/coordination/engineorder.h
+++ b/coordination/engineorder.h
@@ -9,7 +9,7 @@
 namespace ApricotStep
 {
 
-/** An order to an engine to bring something into its memory or to drop it. */
+/** An order to an engine to load or unload an adapter or a base model. */
 struct EngineOrder
 {
     enum class Kind {
@@ -18,28 +18,28 @@
     };
     Kind kind = Kind::Load;
     BaseModelId model;
-    /** Empty: the base model itself. */
+    /** Empty for the base model itself. */
     AdapterId adapter;
-    /** To load this version; empty: the newest. */
+    /** The version to load; empty for the newest. */
     AdapterVersion version;
     UpstreamId engine;
 };
 
 /** How an engine answered an order. */
 enum class OrderAnswer {
-    /** It is being carried out. */
+    /** The order is being carried out. */
     Accepted,
-    /** What it asks for is so already. */
+    /** The requested state holds already. */
     Done,
     /** Another order is in progress, or the adapter is in use. */
     Busy,
-    /** A later holder's order came before. */
+    /** An order of a later lease holder came before. */
     Fenced,
-    /** The engine is not the start that was meant, or does not hold the model. */
+    /** The engine has restarted since, or does not hold the base model. */
     WrongEngine,
-    /** No such order, or another answer. */
+    /** The engine does not know the order, or gave an unexpected answer. */
     Refused,
-    /** None came; it may be carried out. */
+    /** No answer came; the order may be carried out. */
     Unknown,
 };
 
@@ -47,14 +47,14 @@
 struct EngineReport
 {
     std::vector<HeldModel> models;
-    /** Adapters on their way into its memory. */
+    /** Adapters being loaded. */
     std::vector<AdapterKey> loading;
     int waiting = 0;
     int running = 0;
-    /** Tokens of memory that cannot be given up, and all. */
+    /** Tokens of cache memory that are in use and cannot be freed, and their total. */
     double usedTokens = 0;
     double totalTokens = 0;
-    /** It carries out an order for a base model. */
+    /** The engine is carrying out an order for a base model. */
     bool isBusy = false;
 };
 
--- a/coordination/engineslots.cpp
+++ b/coordination/engineslots.cpp
@@ -15,11 +15,11 @@
 namespace
 {
 
-// An engine that refused an eviction is asked again after this long, not at once and for ever.
+// An engine that refused an eviction gets the order again after this delay, not in a tight loop.
 constexpr Duration EvictionRetryDelay { 1000 };
-// Evictions are remembered this long, to see that a report which still lists the adapter is older. Reports lag by seconds at most.
+// How long an eviction is recorded, to recognise older reports that still list the adapter. Reports lag by seconds at most.
 constexpr Duration EvictionRecordLifetime { 60'000 };
-// A load that took long costs more to repeat, but a store under pressure must not make one adapter immovable.
+// A slow load is more expensive to repeat, but a store under pressure must not make one adapter unevictable.
 constexpr double MaxCostFactor = 4.0;
 
 struct Slot
@@ -39,8 +39,8 @@
 
 using Ranked = std::pair<double, AdapterKey>;
 
-// Adds one use at @p at to a decayed count. Both sides are kept as logarithms relative to a fixed origin, so that the order of two
-// adapters does not change while time goes by, and no count has to be touched for its decay.
+// Adds one request at @p at to a decayed count. Both values are logarithms relative to a fixed origin, so the order of two adapters does
+// not change with time, and no count needs to be updated for its decay.
 double addLogCount(double score, double at)
 {
     const double high = std::max(score, at);
@@ -58,7 +58,7 @@
     absl::flat_hash_map<AdapterKey, double> scores;
     // Adapters without a slot, least popular first.
     absl::btree_set<Ranked> absent;
-    // Slots that no request of this node needs, least worth first.
+    // Slots that no request of this node needs, least valuable first.
     absl::btree_set<Ranked> idle;
     absl::flat_hash_map<AdapterKey, double> idleRank;
     absl::flat_hash_map<AdapterKey, Time> evictedAt;
@@ -84,7 +84,7 @@
     return at == scores.end() ? NoScore : at->second;
 }
 
-// Keeps the place of one slot among the idle ones.
+// Updates the position of one slot among the idle ones.
 void EngineSlots::Private::refreshIdle(const AdapterKey &adapter)
 {
     const auto ranked = idleRank.find(adapter);
@@ -166,14 +166,14 @@
 
 bool EngineSlots::Private::isEvictable(const AdapterKey &adapter, const Slot &slot, bool isUrgent, Time now) const
 {
-    // Another node may have a request on it that this one does not count. Evicting it would cut that answer off midway.
+    // Another node may have a request on the adapter that this node does not count; evicting it would break off the answer.
     if (inUseElsewhere.contains(adapter) || reportedInUse.contains(adapter)) {
         return false;
     }
     return now >= slot.noEvictionBefore && (isUrgent || now - slot.since >= limits.minimumResidence);
 }
 
-// Brings one slot in line with a report; true when its state changed. Reports lag: what changed after @p takenAt is newer than they.
+// Updates one slot from a report; returns true when its state changed. Reports lag, so a change after @p takenAt takes precedence.
 bool EngineSlots::Private::applyToSlot(const AdapterKey &adapter, bool isListed, Time takenAt, Time now)
 {
     const auto at = slots.find(adapter);
@@ -283,8 +283,8 @@
         d->erase(adapter);
         return;
     }
-    // A timeout says nothing of the engine: taking the adapter for absent would fill its slot twice, and the next load would fail.
-    // The same holds for an answer that comes after a restart, when it is not known which start gave it.
+    // A timeout says nothing about the engine: if the adapter were taken for absent, its slot would be filled twice and the next load would
+    // fail. The same holds for an answer after a restart, which may come from either start.
     if (outcome == OrderOutcome::Unknown || at->second.hasSpannedRestart) {
         d->setState(adapter, SlotState::Unknown, now);
         return;
--- a/coordination/engineslots.h
+++ b/coordination/engineslots.h
@@ -8,14 +8,15 @@
 #include <optional>
 #include <vector>
 
-// Which adapters an engine holds, and which one goes when another must come.
+// Decides which adapters an engine holds and which one is evicted when another must be loaded.
 //
-// Load pattern: thousands of adapters of skewed popularity over a few slots, with a weight store that gives some two loads a second
-// for the whole fleet. Without this module the adapter that was used longest ago goes: at Zipf 1.0 and 72 slots that costs a load for
-// 58 of 100 requests, against 44 for keeping the most popular and 38 for clairvoyance.
-// Grounds for the figures: the half-life of five minutes sees some dozens of requests of a popular adapter and forgets a popularity
-// that shifted within a quarter of an hour; the minimum residence of four load times (one second) stops two adapters from
-// evicting each other in turn, since a load that serves one request costs as much as one that serves ten.
+// Thousands of adapters of skewed popularity share a few slots, and the weight store serves some two loads a second for all nodes. Evicting
+// the least recently used adapter costs, at Zipf 1.0 and 72 slots, a load for 58 of 100 requests, against 44 for keeping the most popular
+// ones and 38 for an optimal policy that knows the future.
+//
+// The half-life of five minutes covers some dozens of requests of a popular adapter, and a popularity that has shifted loses its weight
+// within a quarter of an hour. The minimum residence of four load times (one second) stops two adapters from evicting each other in turn,
+// since a load that serves one request costs as much as one that serves ten.
 
 namespace ApricotStep
 {
@@ -25,7 +26,7 @@
     Loading,
     Loaded,
     Evicting,
-    /** An order was sent and its outcome was not learned: it takes a slot, but no request may rely on it. */
+    /** An order was sent and its outcome is unknown: the adapter occupies a slot, but no request may rely on it. */
     Unknown,
 };
 
@@ -38,15 +39,15 @@
 
 struct EngineSlotsLimits
 {
-    /** Adapters that fit at once; at least 1. */
+    /** Number of adapters that fit at once; at least 1. */
     int slots = 8;
     /** Expected time of one load. */
     Duration loadTime { 250 };
-    /** An adapter stays at least this long after its load, unless an urgent request needs the slot. */
+    /** Minimum time that an adapter stays after its load, unless an urgent request needs the slot. */
     Duration minimumResidence { 1000 };
-    /** After this long a use counts half. */
+    /** Time after which a request counts half. */
     Duration halfLife { 300'000 };
-    /** Popularity is remembered of this many adapters that are not loaded. */
+    /** Number of adapters without a slot whose popularity is tracked. */
     int maxTrackedAbsent = 4096;
 };
 
@@ -63,48 +64,51 @@
 
     /** A request for @p adapter arrived. */
     void recordRequest(const AdapterKey &adapter, Time now);
-    /** Requests that wait or run pin their adapter. The counts stand apart from the slots, so that a restart cannot upset them. */
+    /** Waiting and running requests pin their adapter. The counts are kept apart from the slots, so that a restart does not affect them. */
     void addQueued(const AdapterKey &adapter);
     void removeQueued(const AdapterKey &adapter);
     void addRunning(const AdapterKey &adapter);
     void removeRunning(const AdapterKey &adapter);
 
-    /** Empty when the adapter takes no slot. */
+    /** Empty when the adapter occupies no slot. */
     std::optional<SlotState> state(const AdapterKey &adapter) const;
     bool isLoaded(const AdapterKey &adapter) const;
     int freeSlots() const;
     int evictingCount() const;
-    /** Slots that no request of this node needs: free, or held by an adapter that nothing waits for or runs on. */
+    /** Slots that no request of this node needs: free, or holding an adapter that no request waits for or runs on. */
     int unpinnedSlots() const;
-    /** Slots that are free or could be made free now, at most. */
+    /** Maximum number of slots that are free or could be freed now. */
     int obtainableSlots() const;
 
-    /** Takes a free slot, or the slot that the adapter has already when its state is Unknown. */
+    /** Takes a free slot, or the slot that the adapter already occupies if its state is Unknown. */
     void beginLoad(const AdapterKey &adapter, Time now);
     void endLoad(const AdapterKey &adapter, OrderOutcome outcome, Time now);
     /**
-     * The adapter that is worth least; empty when none may go. Never one that a request runs on or waits for, here or elsewhere as far as
-     * it is known. @p isUrgent overrides the minimum residence. Only adapters with a score below @p belowScore are taken.
+     * Returns the adapter of least value; empty when none may be evicted. Never one that a request runs on or waits for, here or, as far as
+     * known, on another node. @p isUrgent overrides the minimum residence. Only adapters with a score below @p belowScore are considered.
      */
     std::optional<AdapterKey> evictionVictim(bool isUrgent, Time now, double belowScore) const;
     /** Marks the evictionVictim() as Evicting and returns it. */
     std::optional<AdapterKey> beginEviction(bool isUrgent, Time now, double belowScore = -NoScore);
     void endEviction(const AdapterKey &adapter, OrderOutcome outcome, Time now);
 
-    /** The engine restarted: it holds nothing. The counts of running requests stay until each has ended. */
+    /** The engine restarted and holds no adapter. The counts of running requests stay until each request has ended. */
     void onRestart();
-    /** Takes over what the engine says of itself; returns the adapters whose state changed. */
+    /** Applies a report of the engine; returns the adapters whose state changed. */
     std::vector<AdapterKey> applyReport(
         Time takenAt, const std::vector<AdapterKey> &loaded, const std::vector<AdapterKey> &inUse, Time now);
     void setEvictionRule(bool mayEvict, const std::vector<AdapterKey> &inUseElsewhere);
 
-    /** The logarithm of the decayed frequency; comparable at any time, NoScore for an adapter never asked for. */
+    /**
+     * The logarithm of the decayed request count, so that scores of any time are comparable. NoScore for an adapter that was never
+     * requested.
+     */
     double score(const AdapterKey &adapter) const;
-    /** The score of an adapter that was asked for once, at @p now. */
+    /** The score of an adapter that was requested once, at @p now. */
     double singleUseScore(Time now) const;
-    /** The most popular adapter that takes no slot. */
+    /** The most popular adapter that occupies no slot. */
     std::optional<AdapterKey> mostPopularAbsent() const;
-    /** Adapters that take a slot, sorted. */
+    /** Adapters that occupy a slot, sorted. */
     std::vector<AdapterKey> residents() const;
 
 private:
--- a/coordination/fleetdemand.cpp
+++ b/coordination/fleetdemand.cpp
@@ -9,9 +9,9 @@
 namespace
 {
 
-// How often silent nodes and forgotten adapters are looked for: a small part of the time for which what a node said counts.
+// Interval of the search for unresponsive nodes and unpopular adapters; small against UseTimeout.
 constexpr Duration SweepInterval { 250 };
-// An adapter below this has had no request for five half lives; ten thousand of them would take a megabyte.
+// An adapter with less popularity has had no request for five half-lives. Tracking ten thousand adapters takes a megabyte.
 constexpr double MinPopularity = 0.03;
 
 } // namespace
@@ -81,7 +81,7 @@
                 m_used.emplace(use.engine, std::move(adapter));
                 continue;
             }
-            // One node that finds no copy at all outweighs others that find the copies crowded.
+            // A node that finds no copy at all outweighs others that find the copies overloaded.
             const auto [at, isNew] =
                 pendingByAdapter.try_emplace(adapter, PendingAdapter { adapter, use.hasOverloadedCopies, now, 0, Time() });
             PendingAdapter &pending = at->second;
--- a/coordination/fleetdemand.h
+++ b/coordination/fleetdemand.h
@@ -18,40 +18,40 @@
 struct PendingAdapter
 {
     AdapterRef adapter;
-    /** Copies stand somewhere, but requests would wait too long there. */
+    /** The adapter is loaded somewhere, but requests would wait too long there. */
     bool hasOverloadedCopies = false;
-    /** Since when it is wanted without a break. */
+    /** Since when the adapter has been pending without interruption. */
     Time since;
-    /** Requests that wait for it, and until when the freshest can begin within its latency objective. */
+    /** Number of waiting requests, and until when the most recent one can begin within its latency objective. */
     std::uint32_t waiting = 0;
     Time objectiveDeadline;
 };
 
 /**
- * What the nodes together run and wait for, adapter by adapter. Not thread-safe.
+ * The adapters in use and the pending adapters of all nodes together. Not thread-safe.
  *
- * The sums are made once after each message and not at each question: a plan asks for each copy of each engine whether a request runs on
- * it.
+ * The sums are computed once after each message and not in each getter, since a plan asks for each copy of each engine whether a request
+ * runs on it.
  */
 class FleetDemand
 {
 public:
-    /** What a node said counts for this long: six messages missed. */
+    /** How long a report of a node stays valid: six missed messages. */
     static constexpr Duration UseTimeout { 1500 };
 
     explicit FleetDemand(Duration popularityHalfLife);
 
-    /** What @p node runs and waits for; replaces what it said before. */
+    /** Replaces what @p node runs and waits for. */
     void onUses(const NodeId &node, const std::vector<AdapterUse> &uses, Time now);
-    /** What @p node waits for now; what it runs stays as it said before. */
+    /** Replaces what @p node waits for; what it runs stays as last reported. */
     void onPendingAdapters(const NodeId &node, const std::vector<AdapterUse> &pendingAdapters, Time now);
-    /** Brings the sums up to @p now; the questions below are about that moment. */
+    /** Updates the sums to @p now; the getters below refer to that time. */
     void refresh(Time now);
 
     bool isUsed(const UpstreamId &engine, const AdapterRef &adapter) const;
-    /** In no order: which is to be loaded first changes with time, and sortPendingAdapters() says so each round. */
+    /** Unsorted, since the order changes with time; sortPendingAdapters() sorts them in each round. */
     const std::vector<PendingAdapter> &pendingAdapters() const;
-    /** Requests for it, each counting half after the half life. */
+    /** Number of requests for the adapter, each weighted by exponential decay with the half-life. */
     double popularity(const AdapterRef &adapter, Time now) const;
 
 private:
--- a/coordination/fleetmessage.h
+++ b/coordination/fleetmessage.h
@@ -17,53 +17,53 @@
     UpstreamId upstream;
     /** Requests sent and not ended. */
     std::uint32_t running = 0;
-    /** Prompt tokens of those that have not answered yet. */
+    /** Prompt tokens of the requests that have not answered yet. */
     std::uint32_t pendingTokens = 0;
 
     bool operator==(const UpstreamLoad &) const = default;
 };
 
-/** An adapter that requests run on or wait for, at one engine or at none yet. */
+/** An adapter that requests run on or wait for, on one engine or on none yet. */
 struct AdapterUse
 {
     BaseModelId model;
     AdapterId adapter;
-    /** Where; empty for a request that has no place yet. */
+    /** Empty for requests that have not been assigned to an engine. */
     UpstreamId engine;
     /** Requests that started or arrived since the last message. */
     std::uint32_t count = 0;
-    /** The copies that there are would make requests wait too long. */
+    /** The existing copies would make requests wait too long. */
     bool hasOverloadedCopies = false;
-    /** Requests that wait for it, and how long the freshest of them can still wait and begin within its latency objective. */
+    /** Number of waiting requests, and how long the most recent one can still wait to begin within its latency objective. */
     std::uint32_t waiting = 0;
     Duration latencySlack;
 
     bool operator==(const AdapterUse &) const = default;
 };
 
-/** Adds @p use to @p uses, or to what they hold of the same adapter at the same engine. */
+/** Adds @p use to @p uses, or to the entry for the same adapter on the same engine. */
 void addUse(std::vector<AdapterUse> &uses, const AdapterUse &use);
 
-/** Where one copy of an adapter stands. */
+/** A copy of an adapter on an engine. */
 struct AdapterCopy
 {
     BaseModelId model;
     AdapterId adapter;
-    /** Empty when not known. */
+    /** Empty when unknown. */
     AdapterVersion version;
-    /** In place; else on its way. */
+    /** Whether the copy is loaded; otherwise it is being loaded. */
     bool isReady = false;
 
     bool operator==(const AdapterCopy &) const = default;
 };
 
-/** The adapters of one engine, as its holder knows them. A later row replaces an earlier one. */
+/** The adapters of one engine, as its lease holder reports them. A later residency replaces an earlier one. */
 struct EngineResidency
 {
     UpstreamId engine;
-    /** The start of the engine that this speaks of. */
+    /** The start of the engine that this refers to. */
     std::int64_t startedAt = 0;
-    /** The holder's fencing token, then its count of rows: the greater pair is the later. */
+    /** The holder's fencing token and its count of residencies; the greater pair is the later. */
     FencingToken fence;
     std::uint64_t sequence = 0;
     std::vector<AdapterCopy> copies;
@@ -71,56 +71,56 @@
     bool operator==(const EngineResidency &) const = default;
 };
 
-/** What a node has seen of the weight store; for nodes that have just started. */
+/** What a node has observed of the weight store; for nodes that have just started. */
 struct StoreView
 {
     double maxConcurrentFetches = 0;
     Duration minFetchTime;
     Duration typicalFetchTime;
-    /** Zero when no load at hand has been seen. */
+    /** Zero before any load of a cached adapter has been observed. */
     Duration typicalCachedLoadTime;
-    /** Fetches have been seen to slow each other down. */
+    /** Fetches have been observed to slow each other down. */
     bool hasSeenContention = false;
 
     bool operator==(const StoreView &) const = default;
 };
 
-/** A part of the engines; the orders to it have one holder at a time. */
+/** A part of the engines; only one node at a time holds the lease to give orders to them. */
 using EngineShard = StrongNumber<struct EngineShardTag>;
 
-/** A node asks all others to let it alone give orders to the engines of a shard for a while. */
+/** A request to all other nodes for the exclusive right to give orders to the engines of a shard for the time of the lease. */
 struct LeaseClaim
 {
     EngineShard shard;
     FencingToken fence;
-    /** How long until the claimant gives orders: 0 when it does already. */
+    /** How long until the claimant gives orders; 0 if it does already. */
     Duration ordersIn;
-    /** The claimant's clock when it sent this; comes back in the grant. */
+    /** The claimant's clock when it sent the claim; returned in the grant. */
     Time sentAt;
 };
 
-/** How long ago the sender gave its last order to a shard's engines, while it was the holder. */
+/** How long ago the sender, while it held the lease, gave its last order to the engines of a shard. */
 struct LastOrder
 {
     EngineShard shard;
     Duration ago;
 };
 
-/** A node's promise to let no other node give orders for the lease's time. */
+/** A node's promise to let no other node give orders for the time of the lease. */
 struct LeaseGrant
 {
     EngineShard shard;
     NodeId holder;
     Incarnation incarnation;
-    /** The claim's. */
+    /** Copied from the claim. */
     Time sentAt;
-    /** The greatest fencing token of this shard that the sender has heard of. */
+    /** The greatest fencing token of this shard that the sender has seen. */
     FencingToken greatestFence;
 };
 
 /**
- * How long a node that speaks every @p interval counts as alive after its last message: while no three of its messages in a row are lost,
- * and a late one has come.
+ * Time since the last message after which a node that sends every @p interval counts as unresponsive: three messages in a row are lost, and
+ * the next one is late.
  */
 inline Duration heartbeatTimeout(Duration interval)
 {
@@ -129,7 +129,7 @@
     return interval * MaxMissedMessages + LateMessageMargin;
 }
 
-/** What nodes tell each other, several times a second. */
+/** The message that nodes send each other several times a second. */
 struct FleetMessage
 {
     NodeId sender;
@@ -137,14 +137,14 @@
     ZoneId zone;
     /** The availability zone whose engines the sender uses; empty when it uses all. */
     ZoneId scope;
-    /** Share of a core that the sender has, against those of the others. */
+    /** Share of a CPU core that the sender has, relative to that of the others. */
     double capacity = 0;
-    /** The sender speaks to this receiver at least this often; zero when it does not say. */
+    /** Maximum interval between the sender's messages to this receiver; zero if not given. */
     Duration interval;
-    /** How far the sender has read the store, and whether it reads it by itself and is answered. */
+    /** The revision up to which the sender has read the store, and whether it reads the store itself and gets answers. */
     std::uint64_t readRevision = 0;
     bool isReadingStore = false;
-    /** IP number and port for callers and for other nodes. */
+    /** IP address and port for callers and for other nodes. */
     std::string callerAddress;
     std::string peerAddress;
     bool isReady = false;
@@ -152,20 +152,20 @@
     ConfigVersion configVersion;
     std::vector<LeaseClaim> claims;
     std::vector<LeaseGrant> grants;
-    /** How long the sender has run: its predecessor under the same id gave no orders since. */
+    /** How long the sender has been running; an earlier process with the same id has given no orders during this time. */
     Duration uptime;
     std::vector<LastOrder> lastOrders;
-    /** Nodes that the sender has heard of lately and remembers, itself included; 0 when it does not say. */
+    /** Number of nodes that the sender has received messages from and remembers, itself included; 0 if not given. */
     std::uint32_t rememberedNodes = 0;
-    /** The sender gives up these leases. */
+    /** Shards whose leases the sender releases. */
     std::vector<EngineShard> releases;
-    /** Peer addresses of nodes that the sender heard of lately, so that those who know few find the others. */
+    /** Peer addresses of nodes that the sender has recently received messages from, for nodes that know few others. */
     std::vector<std::string> contacts;
-    /** Unset in messages that do not speak of load. */
+    /** Unset in messages without load information. */
     std::optional<std::vector<UpstreamLoad>> loads;
     std::vector<AdapterUse> uses;
     std::vector<EngineResidency> residencies;
-    /** Unset where the sender has seen no fetch, or does not say. */
+    /** Unset if the sender has observed no fetch or does not include it. */
     std::optional<StoreView> store;
 };
 
--- a/coordination/hotspread.cpp
+++ b/coordination/hotspread.cpp
@@ -12,7 +12,7 @@
 {
 
 constexpr double ColdDemand = 0.05;
-// Long gaps are stepped through, so that a spread never moves faster after a quiet time than the damping allows.
+// Longer gaps are cut to this, so that a spread does not move faster than the damping allows after an idle time.
 constexpr double MaxGapSeconds = 60;
 
 struct AdapterSpread
--- a/coordination/loadpermits.cpp
+++ b/coordination/loadpermits.cpp
@@ -17,11 +17,12 @@
 {
 
 constexpr std::string_view IssuerKey = "load-permits";
-// Each further request that shares a load counts as if the first had waited half a second longer: the time of one load at 2 a second.
+// Each further request that shares a load counts as if the first one had waited half a second longer, the time of one load at 2 loads a
+// second.
 constexpr Duration CreditPerRequest { 500 };
-// Unspent rate is kept for this many loads at most: the store serves one at a time at full speed.
+// Unspent rate is kept for at most this many loads, since the store serves one load at a time at full speed.
 constexpr double MaxTokens = 1.0;
-// A giver that could not be reached is left alone this long.
+// How long no message is sent to an issuer that could not be reached.
 constexpr Duration IssuerRetryDelay { 2000 };
 
 // Urgent, standard, patient, then prefetch.
@@ -61,7 +62,7 @@
     double tokens = MaxTokens;
     Time refilledAt;
     absl::btree_set<Ranked> order;
-    // Requests that wait, by rank.
+    // Number of waiting requests by rank.
     std::array<int, PriorityCount + 1> counts {};
     absl::btree_map<PermitName, Waiting> waiting;
     absl::btree_map<PermitName, Time> inFlight;
@@ -140,7 +141,7 @@
 void PermitIssuer::release(const PermitRelease &released, Time now)
 {
     d->refill(now);
-    // A withdrawal may cross the grant: the permit is then still out, and comes back as unused in its own time.
+    // A withdrawal may cross the grant. The permit is then still issued, and is released separately as unused.
     if (released.end == PermitEnd::Withdrawn) {
         d->removeWaiting(released.name);
         return;
@@ -204,7 +205,7 @@
 
     NodeId self;
     LoadBudget budget;
-    // Takes the giver's place while none answers.
+    // Replaces the issuer while none answers.
     PermitIssuer localIssuer;
     NodeId issuer;
     Time issuerUnreachableUntil;
@@ -283,7 +284,7 @@
 
 std::vector<PermitAction> PermitClient::granted(const PermitGrant &grant, Time now)
 {
-    // A permit that nobody waits for any more goes back at once, or the store idles for its life.
+    // A permit that no request waits for any more is released at once; otherwise the store would be idle for its lifetime.
     if (d->pending.erase(grant.name) == 0) {
         return release({ grant.name, PermitEnd::Unused }, now);
     }
--- a/coordination/loadpermits.h
+++ b/coordination/loadpermits.h
@@ -7,36 +7,38 @@
 #include <variant>
 #include <vector>
 
-// Who in the fleet may load from the weight store now.
+// Decides which engine may load from the weight store now.
 //
-// Load pattern: every engine of the fleet loads from one store that gives about two loads a second, and popularity shifts for all of
-// them at once. Without this module each engine sends its loads at once; they share the store's rate, so that the one an urgent
-// request waits for takes as long as the dozens that patient work asked for beside it.
-// Grounds for the figures: the rate and the number in flight are the store's own limits; a permit lives two seconds, eight load times,
-// so that a lost engine holds back little; a request for a permit is repeated every second and forgotten after three, so that a giver
-// that starts anew knows the whole demand within a second and one that lost an asker does not serve its ghost.
-// It is a limit for speed, never for safety: two givers at once, or none, cost time and nothing else.
+// All engines load from one store that serves about two loads a second, and popularity shifts for all of them at once. Without permits each
+// engine would send its loads at once, and since they share the store's rate, the load that an urgent request waits for would take as long
+// as the dozens of loads for patient work beside it.
+//
+// The rate and the number of loads in flight are the store's own limits. A permit lives for two seconds, eight load times, so that a lost
+// engine holds back little. A request for a permit is repeated every second and expires after three, so that a restarted issuer knows the
+// whole demand within a second and does not serve the requests of a lost client.
+//
+// Permits limit speed and are not needed for safety: two issuers at once, or none, cost time and nothing else.
 
 namespace ApricotStep
 {
 
-/** What the weight store gives to the whole deployment. */
+/** The limits of the weight store for the whole deployment. */
 struct LoadBudget
 {
-    /** Loads a second; above 0. */
+    /** Loads per second; above 0. */
     double ratePerSecond = 2.0;
     /** Loads in flight at once; at least 1. */
     int parallel = 8;
-    /** How long a permit is good for; it also stands for a load whose end is never heard of. */
+    /** How long a permit is valid; also ends a load whose completion is never reported. */
     Duration permitLifetime { 2000 };
-    /** A request for a permit that is not repeated is forgotten after this long. */
+    /** A request for a permit expires after this long unless it is repeated. */
     Duration requestTimeout { 3000 };
     Duration requestInterval { 1000 };
 };
 
-// Messages between askers and the giver. Times are spans, since nodes' clocks differ.
+// Messages between permit clients and the permit issuer. Times are durations, since the clocks of nodes differ.
 
-/** Names a permit: one adapter on one upstream, asked for by one node. */
+/** Identifies a permit: one adapter on one upstream, requested by one node. */
 struct PermitName
 {
     NodeId node;
@@ -60,7 +62,9 @@
     PermitName name;
     Duration lifetime;
 };
-/** The answer to a request: how long one that is asked for now at this urgency will wait, as the giver sees the whole fleet. */
+/**
+ * Answer to a request: how long a request that is made now at this urgency will wait, as estimated by the issuer from all nodes' requests.
+ */
 struct PermitWaitEstimate
 {
     PermitName name;
@@ -74,10 +78,10 @@
     PermitEnd end = PermitEnd::Used;
 };
 
-/** The node that hands out permits: the same at all nodes that see the same live ones; empty when there are none. */
+/** Returns the node that issues permits; all nodes with the same live nodes choose the same one. Empty when there are none. */
 NodeId permitIssuerOf(const std::vector<NodeId> &live);
 
-/** Hands out the budget, most urgent first. Not thread-safe. */
+/** Issues permits from the budget, most urgent first. Not thread-safe. */
 class PermitIssuer
 {
 public:
@@ -86,14 +90,14 @@
     PermitIssuer(PermitIssuer &&) noexcept;
     PermitIssuer &operator=(PermitIssuer &&) noexcept;
 
-    /** The part of the budget that is this giver's, 0 to 1: the share of the listed nodes that it can reach. */
+    /** Sets this issuer's fraction of the budget, 0 to 1: the fraction of the listed nodes that it can reach. */
     void setShare(double share, Time now);
     void request(const PermitRequest &request, Time now);
     void release(const PermitRelease &released, Time now);
-    /** The permits that may be given now; call it after each message and every 20 to 100 ms. */
+    /** Returns the permits that may be issued now; to be called after each message and every 20 to 100 ms. */
     std::vector<PermitGrant> grant(Time now);
 
-    /** How long a request that comes now with this urgency will wait. */
+    /** Estimated wait of a request that arrives now with this urgency. */
     Duration expectedWait(const std::optional<Priority> &urgency) const;
 
     int waitingCount() const;
@@ -104,13 +108,13 @@
     std::unique_ptr<Private> d;
 };
 
-/** Sends this message to the giver. */
+/** Send this message to the issuer. */
 struct SendToIssuer
 {
     NodeId issuer;
     std::variant<PermitRequest, PermitRelease> message;
 };
-/** An engine of this node may load, until the expiry. */
+/** An engine of this node may load until the expiry. */
 struct PermitReceived
 {
     UpstreamId upstream;
@@ -119,10 +123,7 @@
 };
 using PermitAction = std::variant<SendToIssuer, PermitReceived>;
 
-/**
- * The side of a node that needs permits. While there is no giver that answers, it goes by an even part of the budget, budget / nodes.
- * Not thread-safe.
- */
+/** Requests permits for a node. While no issuer answers, it uses an equal part of the budget for each node. Not thread-safe. */
 class PermitClient
 {
 public:
@@ -131,12 +132,12 @@
     PermitClient(PermitClient &&) noexcept;
     PermitClient &operator=(PermitClient &&) noexcept;
 
-    /** Nodes that live, and how many the VM list has; a node of its own giving asks itself through the same messages. */
+    /** Sets the live nodes and the number of nodes in the VM list. A node that is the issuer itself sends itself the same messages. */
     void setFleet(const std::vector<NodeId> &live, int listed, Time now);
     std::vector<PermitAction> requestPermit(const PermitRequest &request, Time now);
     std::vector<PermitAction> release(const PermitRelease &released, Time now);
     std::vector<PermitAction> granted(const PermitGrant &grant, Time now);
-    /** A message to the giver was taken by it, or could not be brought to it. */
+    /** Reports whether a message reached the issuer. */
     void onIssuerReply(bool isReached, Time now);
     std::vector<PermitAction> tick(Time now);
 
--- a/coordination/loadqueue.cpp
+++ b/coordination/loadqueue.cpp
@@ -14,9 +14,9 @@
 namespace
 {
 
-// The part of a patient request's allowance that its load may wait for sharers, at a batch share of 1.
+// Fraction of a patient request's allowance that its load may wait for sharers, at a batch share of 1.
 constexpr double MaxHoldRatio = 0.1;
-// A failure this long ago says nothing of the next try.
+// A failure this long ago has no influence on the next attempt.
 constexpr Duration FailureExpiry { 60'000 };
 
 using Ranked = std::tuple<QueueLevel, Time, AdapterKey>;
@@ -25,7 +25,7 @@
 struct PendingLoad
 {
     AdapterDemand demand;
-    // Where it stands: in the order when wakeAt is zero, else among those that sleep.
+    // An entry stands in `order` under its rank if wakeAt is zero, otherwise in `sleeping`.
     Time rank;
     Time wakeAt;
 };
@@ -77,8 +77,8 @@
     return wake;
 }
 
-// How much longer an adapter counts as having waited for each further request that shares its load. Patient work can afford to let
-// adapters with more sharers go first, by a part of its allowance.
+// Returns how much each further request that shares an adapter's load adds to its waiting time. Patient work can let adapters with more
+// sharers go first, for a fraction of its allowance.
 Duration LoadQueue::Private::sharingCredit(const AdapterDemand &demand) const
 {
     if (demand.level != QueueLevel::Patient) {
--- a/coordination/loadqueue.h
+++ b/coordination/loadqueue.h
@@ -7,27 +7,28 @@
 #include <optional>
 #include <vector>
 
-// Which adapter an engine loads next.
+// Decides which adapter an engine loads next.
 //
-// Load pattern: at two loads a second for the whole fleet, dozens of adapters wait to be loaded, some for one patient request and some
-// for several urgent ones. Without this module loads go in the order of the first arrival: a question that should be answered in a
-// second waits behind loads for summaries that could wait until the morning, an adapter whose load fails is asked for in a tight loop
-// and takes the others' share, and each patient request spends a load of its own.
-// Grounds for the figures: what waits for the same adapter counts as if it had waited longer, one load interval a request, since that
-// is what serving it with the same load saves; a failed load is tried again after half a second, doubled each time and jittered over
-// half of it so that engines that failed together do not come back together; after six tries (some 16 s) the adapter is taken for
-// broken and what waits is told so.
+// At two loads a second for all nodes together, dozens of adapters wait to be loaded, some for one patient request and some for several
+// urgent ones. In order of the first arrival, a request that should be answered in a second would wait behind loads for summaries that are
+// due the next morning, an adapter whose load fails would be requested in a tight loop at the expense of the others, and each patient
+// request would take a load of its own.
+//
+// Each request that waits for the same adapter adds one load interval to the adapter's waiting time, since serving it with the same load
+// saves that much. A failed load is retried after half a second, doubled each time and jittered over half of the delay, so that engines
+// that failed together do not retry together. After six attempts (some 16 s) the adapter counts as broken and its waiting requests are told
+// so.
 
 namespace ApricotStep
 {
 
 struct LoadQueueLimits
 {
-    /** How much each further waiting request counts, as time that the first one would have waited. */
+    /** How much each further waiting request adds to the waiting time of the first one. */
     Duration creditPerRequest { 500 };
     /** Weight of full batches against short stalls, 0 to 1: how long a load for patient work waits for more requests to share it. */
     double batchShare = 0.5;
-    /** A load for patient work waits no longer once this many requests share it. */
+    /** A load for patient work stops waiting once this many requests share it. */
     int targetSharers = 4;
     Duration firstBackoff { 500 };
     Duration maxBackoff { 16'000 };
@@ -43,23 +44,23 @@
     LoadQueue(LoadQueue &&) noexcept;
     LoadQueue &operator=(LoadQueue &&) noexcept;
 
-    /** What waits for @p adapter now; nothing when demand.waiting is 0. */
+    /** Sets the requests that wait for @p adapter; none if demand.waiting is 0. */
     void update(const AdapterKey &adapter, const AdapterDemand &demand, Time now);
     void remove(const AdapterKey &adapter);
-    /** Takes in adapters whose back-off or wait for sharers is over. */
+    /** Adds the adapters whose backoff or wait for sharers is over to the queue. */
     void wake(Time now);
 
     /** The first adapters to load, at most @p count. */
     std::vector<AdapterKey> first(int count) const;
-    /** When the load that is next at @p level was first asked for; empty when none waits there. */
+    /** Arrival of the oldest request for the load that is next at @p level; empty when none waits there. */
     std::optional<Time> headOfLine(QueueLevel level) const;
     std::optional<AdapterDemand> demand(const AdapterKey &adapter) const;
     bool isEmpty() const;
 
-    /** A load failed. The time of the next try; empty when there have been too many: the adapter is then taken for broken. */
+    /** Records a failed load. Returns the time of the next attempt; empty after too many attempts, when the adapter counts as broken. */
     std::optional<Time> onLoadFailed(const AdapterKey &adapter, Time now);
     void onLoadSucceeded(const AdapterKey &adapter);
-    /** How long until @p adapter may be tried again; zero when it is not backing off. */
+    /** How long until @p adapter may be loaded again; zero when it is not backing off. */
     Duration remainingBackoff(const AdapterKey &adapter, Time now) const;
 
 private:
--- a/coordination/pendingadapterorder.cpp
+++ b/coordination/pendingadapterorder.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Of the requests that wait for one adapter at one node only the freshest is known to be in time; the others count as late.
+// Only the most recent of the requests that wait for an adapter on one node is known to be in time; the others count as late.
 double gainOf(const PendingAdapter &pending, const PendingAdapterOrderLimits &limits, Duration load, Time now)
 {
     const auto waiting = static_cast<double>(std::max<std::uint32_t>(pending.waiting, 1));
@@ -26,7 +26,7 @@
     for (PendingAdapter &pending : pendingAdapters) {
         weighted.emplace_back(gainOf(pending, limits, load, now), std::move(pending));
     }
-    // Among equals the older want: none waits for all others for good.
+    // Among equals the oldest comes first, so that no adapter waits behind all others indefinitely.
     std::sort(weighted.begin(), weighted.end(), [](const auto &a, const auto &b) {
         return std::tie(a.second.hasOverloadedCopies, b.first, a.second.since, a.second.adapter)
             < std::tie(b.second.hasOverloadedCopies, a.first, b.second.since, b.second.adapter);
--- a/coordination/placement.cpp
+++ b/coordination/placement.cpp
@@ -15,14 +15,15 @@
 namespace
 {
 
-// Engines of the same weight, so that their hashes alone order them. The hashes stand apart: the search reads nothing else.
+// Engines of the same weight, so that their hashes alone determine the order. The hashes are stored separately since the search reads
+// nothing else.
 struct Group
 {
     std::vector<std::uint64_t> hashes;
     std::vector<Candidate> members;
 };
 
-// The greatest values seen so far, greatest first.
+// Keeps the greatest values offered so far, greatest first.
 class TopValues
 {
 public:
@@ -87,7 +88,7 @@
     std::shared_ptr<const Catalog> catalog;
     std::shared_ptr<const FleetView> fleet;
     absl::flat_hash_map<ZoneId, std::vector<NodeView>> nodesByZone;
-    // By base model and slots. Within a group by id.
+    // By base model and number of slots. The members of a group are sorted by id.
     absl::flat_hash_map<BaseModelId, std::map<int, Group>> models;
 
     const NodeView *owner(const UpstreamSpec &upstream) const
@@ -114,7 +115,7 @@
             d->models[upstream.baseModel][upstream.slots].members.push_back({ &upstream, owner });
         }
     }
-    // Equal hash values are broken by position, so positions must not depend on the order in which the catalog was written.
+    // Positions break ties between equal hashes, so they must not depend on the order in which the catalog was written.
     for (auto &[model, groups] : d->models) {
         for (auto &[slots, group] : groups) {
             finishGroup(group);
--- a/coordination/prefixhints.cpp
+++ b/coordination/prefixhints.cpp
@@ -13,13 +13,13 @@
 namespace
 {
 
-// Events this far behind come from a new start of the engine rather than late from the old one.
+// A sequence that is this far behind belongs to a new start of the engine; one that is closer is a late event.
 constexpr std::uint64_t LateWindow = 256;
 
 struct Source
 {
     std::uint64_t lastSequence = 0;
-    /** Hints of an older generation are void. */
+    /** Hints of an older generation are invalid. */
     std::uint64_t generation = 0;
 };
 
@@ -48,11 +48,11 @@
     PrefixHintLimits limits;
     absl::flat_hash_map<UpstreamId, Source> sources;
     absl::flat_hash_map<std::uint64_t, Hint> hints;
-    // In the order of writing; an entry whose hint was written again or removed since is skipped.
+    // In the order of writing. An entry is skipped if its hint has been written again or removed since.
     std::deque<WrittenHint> order;
     std::uint64_t nextSerial = 0;
 
-    // False for an event that comes after a newer one of its upstream.
+    // Returns false for an event that arrives after a newer one of its upstream.
     bool isInOrder(const UpstreamId &upstream, std::uint64_t sequence)
     {
         Source &source = sources[upstream];
@@ -60,7 +60,7 @@
         if (isLate) {
             return false;
         }
-        // A gap may hide removals, and a sequence that starts far lower tells of a restart: what is believed so far is void.
+        // A gap may hide removals, and a sequence that starts far lower indicates a restart: all earlier hints are invalid.
         if (source.lastSequence != 0 && sequence != source.lastSequence + 1) {
             ++source.generation;
         }
@@ -96,7 +96,7 @@
 {
     std::visit(Overloaded {
                    [&](const PrefixStored &stored) {
-                       // A late one may have been removed since; not believing it costs speed only.
+                       // The prefix of a late event may have been removed since; ignoring it costs only speed.
                        if (d->isInOrder(stored.upstream, stored.sequence)) {
                            d->store(stored.upstream, stored.prefix, now);
                        }
--- a/coordination/prefixhints.h
+++ b/coordination/prefixhints.h
@@ -10,13 +10,17 @@
 namespace ApricotStep
 {
 
-// Load pattern: many prompts that begin alike (a manual, a template), on engines that cache prefixes and tell of it late and with gaps.
-// Without hints: the prompt's beginning is worked through again on each upstream of a spread adapter. With trusted ones: work would go to
-// an upstream that has long dropped the prefix. So they only tip the scale between queues that are nearly equal, and a wrong one costs
-// speed. Grounds for the figures: 8,192 hints of some 100 bytes are under a megabyte for a node's thirty upstreams. Two minutes is about
-// how long a busy engine keeps a prefix; an older hint is more often wrong than right.
+// Remembers which upstream has probably cached which prompt prefix.
+//
+// Many prompts begin alike (a manual, a template), and engines cache prefixes but report them late and incompletely. Without hints, the
+// beginning of a prompt is processed again on each upstream over which its adapter is spread. If hints were trusted, requests would be sent
+// to an upstream that dropped the prefix long ago. Hints therefore only decide between queues of nearly equal length, and a wrong one costs
+// nothing but speed.
+//
+// 8,192 hints of some 100 bytes take less than a megabyte for the thirty upstreams of a node. A busy engine keeps a prefix for about two
+// minutes, so an older hint is more often wrong than right.
 
-/** The engine stored a prefix. @p sequence counts the upstream's events up by one. */
+/** The engine stored a prefix. @p sequence numbers the upstream's events consecutively. */
 struct PrefixStored
 {
     UpstreamId upstream;
@@ -42,7 +46,7 @@
     Duration maxAge = Duration::seconds(120);
 };
 
-/** Which upstream probably holds which prompt prefix. Bounded, never trusted. Not thread-safe. */
+/** Which upstream probably holds which prompt prefix; bounded in size. Not thread-safe. */
 class PrefixHints
 {
 public:
--- a/coordination/replicachoice.cpp
+++ b/coordination/replicachoice.cpp
@@ -23,7 +23,8 @@
     return (view.isInSameZone ? 0 : OtherZoneCost) - (view.hasPrefix ? PrefixGain : 0);
 }
 
-// How much worse @p a is than @p b. Depths count only when both are known: taken as empty, an unknown one would draw everything.
+// Returns how much worse @p a is than @p b. Queue depths count only when both are known, since an unknown queue taken for empty would
+// attract all requests.
 double difference(const ReplicaView &a, const ReplicaView &b)
 {
     const int depths = a.depth && b.depth ? *a.depth - *b.depth : 0;
--- a/coordination/residencytable.cpp
+++ b/coordination/residencytable.cpp
@@ -9,7 +9,8 @@
 namespace
 {
 
-// Tokens order the rows of one start only: an engine that starts anew in another shard gets a holder whose token may be lower.
+// Fencing tokens are only comparable within one start of the engine: when it restarts in another shard, its new holder may have a lower
+// token.
 auto versionOf(const EngineResidency &residency)
 {
     return std::tuple(residency.startedAt, residency.fence, residency.sequence);
--- a/coordination/residencytable.h
+++ b/coordination/residencytable.h
@@ -13,7 +13,7 @@
 namespace ApricotStep
 {
 
-/** One adapter of one base model. */
+/** An adapter of a base model. */
 struct AdapterRef
 {
     BaseModelId model;
@@ -29,23 +29,24 @@
 };
 
 /**
- * Where copies of adapters stand, as the holder of the orders says; before it has spoken, as the engines' entries say. Not thread-safe.
+ * Which adapters are loaded on which engine: as the lease holder reports it, or as the engine's own record says until the holder has
+ * reported. Not thread-safe.
  *
- * A row of an earlier holder or an earlier count never replaces a later one: datagrams overtake each other, and a copy that was dropped
- * meanwhile would get requests again.
+ * A residency with a lower fencing token or sequence never replaces a later one. Datagrams may arrive out of order, and a copy that has
+ * been unloaded meanwhile would get requests again.
  */
 class ResidencyTable
 {
 public:
-    /** Whether @p residency was news. */
+    /** Returns whether @p residency was newer than the stored one. */
     bool put(const EngineResidency &residency);
-    /** The engine refused the adapter: the row is wrong until a later one comes. */
+    /** The engine refused a request for the adapter: the residency is taken as wrong until a newer one arrives. */
     void markMissing(const UpstreamId &engine, const AdapterRef &adapter);
     void remove(const UpstreamId &engine);
 
-    /** The copy of @p adapter at the engine of @p record, if it has one in place or on its way. */
+    /** The copy of @p adapter on the engine of @p record, if it is loaded or being loaded there. */
     std::optional<AdapterCopy> copy(const UpstreamRecord &record, const AdapterRef &adapter) const;
-    /** Null when no holder has spoken of this start of the engine. */
+    /** Null when no holder has reported on this start of the engine. */
     const EngineResidency *residency(const UpstreamRecord &record) const;
 
 private:
