--- a/tests/coordination/testadapterloadestimator.cpp
+++ b/tests/coordination/testadapterloadestimator.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Deployments that differ in everything that no page tells.
+// Deployments that differ in everything that a node can't look up.
 const StoreParameters SmallStore { 4, Duration(250), 24, 6, 4, 2 };
 const StoreParameters WideStore { 24, Duration(250), 108, 12, 18, 4 };
 const StoreParameters FastStore { 10, Duration(80), 60, 10, 10, 4 };
@@ -17,22 +17,23 @@
 
 } // namespace
 
-// A whole fleet starts with nothing loaded and two hundred callers a second ask for thousands of adapters. The store could bear three times
-// as many fetches as the nodes dare to order, so callers wait in line for a store that is idle and get their answers late.
-Test(adapterloadestimator, aWideStoreIsUsedWhole)
+// A deployment starts with nothing loaded, and two hundred requests a second ask for thousands of adapters. If the nodes' window stayed at
+// a third of what the store sustains, requests would queue for an idle store and be answered late.
+Test(adapterloadestimator, usesTheFullCapacityOfAWideStore)
 {
     WeightStoreSimulation simulation(WideStore);
     simulation.runLoad(Duration::seconds(4), 200, 3000, 1.2);
     const Time warm = simulation.now();
     simulation.runLoad(Duration::seconds(6), 200, 3000, 1.2);
     cr_assert_geq(simulation.maxFetchesInFlight(), 20);
-    cr_assert_leq(simulation.waitPercentile(0.9, warm), 450, "nine of ten begin within %lld ms",
+    cr_assert_leq(simulation.waitPercentile(0.9, warm), 450, "nine of ten requests begin within %lld ms",
         static_cast<long long>(simulation.waitPercentile(0.9, warm)));
     cr_assert_eq(simulation.crashes(), 0);
 }
 
-// A store that bears few fetches gets hundreds of wants at once. Were all ordered together, each would take as long as all of them.
-Test(adapterloadestimator, aNarrowStoreIsNotCrowded)
+// Hundreds of adapters become pending at a store that sustains few concurrent fetches. If all were fetched together, each fetch would take
+// as long as all of them.
+Test(adapterloadestimator, doesNotOverloadANarrowStore)
 {
     WeightStoreSimulation simulation(SmallStore);
     for (int round = 0; round < 6; ++round) {
@@ -43,9 +44,9 @@
     }
 }
 
-// Stores differ in how long a fetch takes. A node that asks too early spends orders and its engine's time, one that asks too late leaves
-// callers waiting for an adapter that stands there.
-Test(adapterloadestimator, theTimeOfAFetchIsFound)
+// Fetch times differ between stores. A node that polls too early wastes orders and the engine's time; one that polls too late leaves
+// requests waiting for an adapter that is loaded.
+Test(adapterloadestimator, findsTheFetchTime)
 {
     for (const StoreParameters &parameters : { SmallStore, WideStore, FastStore, SlowStore }) {
         WeightStoreSimulation simulation(parameters);
@@ -53,13 +54,13 @@
         const auto fetch = static_cast<double>(parameters.fetch.milliseconds());
         const auto seen = static_cast<double>(simulation.loads().minFetchTime().milliseconds());
         cr_assert_geq(seen, fetch * 0.95);
-        cr_assert_leq(seen, fetch * 1.3, "a fetch of %.0f ms is taken for one of %.0f", fetch, seen);
+        cr_assert_leq(seen, fetch * 1.3, "a fetch of %.0f ms is estimated as %.0f ms", fetch, seen);
     }
 }
 
-// Engines keep many adapters at hand that they had to drop. If the nodes think of fewer, adapters are fetched from the store again that an
-// engine could have had in a tenth of the time.
-Test(adapterloadestimator, whatIsAtHandIsLoadedFromThere)
+// Engines cache many adapters that they had to unload. If nodes expect fewer to be cached, adapters are fetched from the store again
+// although an engine could load them in a tenth of the time.
+Test(adapterloadestimator, loadsCachedAdaptersFromTheCache)
 {
     WeightStoreSimulation simulation(WideStore);
     simulation.runLoad(Duration::seconds(20), 200, 1000, 1.0);
@@ -68,17 +69,17 @@
     simulation.runLoad(Duration::seconds(10), 200, 1000, 1.0);
     const double share =
         static_cast<double>(simulation.cachedLoads() - cached) / (simulation.cachedLoads() - cached + simulation.fetches() - fetches);
-    cr_assert_geq(share, 0.7, "%.2f of the loads were at hand", share);
+    cr_assert_geq(share, 0.7, "%.2f of the loads were cached", share);
 }
 
-// Engines that keep nothing at hand: a node that believes otherwise sends loads where they are not quick, and asks too early each time.
-Test(adapterloadestimator, nothingAtHandIsLearnt)
+// Engines cache nothing. A node that expects otherwise places loads on engines that are not faster, and polls too early each time.
+Test(adapterloadestimator, learnsThatNothingIsCached)
 {
     StoreParameters parameters = SmallStore;
     parameters.cached = 0;
     WeightStoreSimulation simulation(parameters);
     simulation.runLoad(Duration::seconds(20), 40, 200, 1.0);
-    // The engine dropped a3 and others long ago; whichever it is asked about is not thought to be at hand.
+    // Engines have unloaded most of these adapters long ago; few may be expected to be cached.
     int believed = 0;
     for (int engine = 0; engine < parameters.engines; ++engine) {
         for (int adapter = 0; adapter < 200; ++adapter) {
@@ -89,9 +90,10 @@
     cr_assert_leq(believed, 60);
 }
 
-// All nodes are restarted while the engines go on. The first loads that the new nodes see are of adapters at hand, ten times as fast as a
-// fetch; taken for fetches, they would make each real one look slowed down, and the nodes would order two at once from then on.
-Test(adapterloadestimator, restartedNodesAreNotMisledByLoadsAtHand)
+// All nodes restart while the engines keep running. The first loads that the new nodes observe are of cached adapters, ten times as fast as
+// a fetch. Taken for fetches, they would make each real fetch look slowed down, and the nodes would fetch only two adapters at a time from
+// then on.
+Test(adapterloadestimator, restartedNodesDoNotTakeCachedLoadsForFetches)
 {
     WeightStoreSimulation simulation(WideStore);
     simulation.runLoad(Duration::seconds(15), 150, 600, 1.0);
@@ -103,9 +105,9 @@
     cr_assert_leq(simulation.waitPercentile(0.9, settled), 600);
 }
 
-// All nodes are restarted while the engines go on with a thousand adapters at hand. No new node knows which engine has which; if each
-// adapter were sent to any engine, nearly all would be fetched from the store again, and callers would wait in line for it for ten seconds.
-Test(adapterloadestimator, restartedNodesFindWhatIsAtHand)
+// All nodes restart while the engines keep a thousand adapters cached, and no new node knows which engine has which. If each adapter were
+// loaded on any engine, nearly all would be fetched again, and requests would queue for the store for ten seconds.
+Test(adapterloadestimator, restartedNodesFindCachedAdapters)
 {
     WeightStoreSimulation simulation(WideStore);
     simulation.runLoad(Duration::seconds(25), 200, 800, 0.9);
@@ -116,12 +118,11 @@
     simulation.runLoad(Duration::seconds(5), 200, 800, 0.9);
     const double share =
         static_cast<double>(simulation.cachedLoads() - cached) / (simulation.cachedLoads() - cached + simulation.fetches() - fetches);
-    cr_assert_geq(share, 0.5, "%.2f of the loads were at hand", share);
+    cr_assert_geq(share, 0.5, "%.2f of the loads were cached", share);
 }
 
-// The same again and again, on nodes that are slow to see that a load is done: none may go on with the time of a load at hand for a
-// fetch's.
-Test(adapterloadestimator, noRestartLeavesAWrongTimeBehind)
+// Nodes restart repeatedly and observe late that a load is done. None may keep taking the time of a cached load for the fetch time.
+Test(adapterloadestimator, repeatedRestartsKeepTheFetchTime)
 {
     StoreParameters parameters = WideStore;
     parameters.observationDelay = Duration(35);
@@ -134,15 +135,15 @@
         simulation.runLoad(Duration::seconds(4), 150, 3000, 1.0);
         for (std::size_t node = 0; node < static_cast<std::size_t>(parameters.plans); ++node) {
             const auto shortest = static_cast<long long>(simulation.loads(node).minFetchTime().milliseconds());
-            cr_assert_geq(shortest, 200, "node %zu takes %lld ms for a fetch", node, shortest);
+            cr_assert_geq(shortest, 200, "node %zu estimates %lld ms for a fetch", node, shortest);
         }
         cr_assert_leq(simulation.waitPercentile(0.9, settled), 600);
     }
 }
 
-// Nodes are restarted in turn while the others fetch as much as the store bears. A new one that knows nothing of the store finds more under
-// way than it would dare to order, and its engines get nothing for as long as the others are busy.
-Test(adapterloadestimator, aNodeThatJoinsABusyFleetOrdersAtOnce)
+// A node restarts while the others fetch as much as the store sustains. Without their observations it would find more fetches in flight
+// than its initial window allows, and its engines would get no loads for as long as the others are busy.
+Test(adapterloadestimator, aNodeThatJoinsABusyFleetLoadsAtOnce)
 {
     WeightStoreSimulation simulation(WideStore);
     simulation.runLoad(Duration::seconds(6), 250, 3000, 0.8);
--- a/tests/coordination/testadapterplan.cpp
+++ b/tests/coordination/testadapterplan.cpp
@@ -15,7 +15,7 @@
 
 constexpr int Slots = 3;
 
-/** One plan over a few engines that carry its orders out after a load time and crash when they are overfull, as the users' do. */
+/** One plan over a few engines that carry out orders after a load time and crash when they are overfull, as the users' engines do. */
 class PlanSimulation
 {
 public:
@@ -87,14 +87,14 @@
     {
         return m_crashes;
     }
-    /** The engine starts again, empty but for its base model, under the id that it had. */
+    /** The engine restarts under the same id, with its base model and no adapter. */
     void restart(int engine)
     {
         m_engines[static_cast<std::size_t>(engine)] = EngineState {};
         ++m_records[static_cast<std::size_t>(engine)].startedAt;
         std::erase_if(m_history, [engine](const Snapshot &snapshot) { return snapshot.engine == static_cast<std::size_t>(engine); });
     }
-    /** What a node that hears all rows sends to. */
+    /** Whether a node that receives all residencies would send requests there. */
     bool isAnnouncedAsLoaded(int engine, const std::string &adapter) const
     {
         const auto copy =
@@ -230,8 +230,8 @@
 
 } // namespace
 
-// A request waits for an adapter that stands nowhere. It is loaded once, though the want is told again and again.
-Test(adapterplan, aWantedAdapterIsLoadedOnce)
+// A request waits for an adapter that is loaded on no engine. The adapter is loaded once, although it is reported as pending many times.
+Test(adapterplan, aPendingAdapterIsLoadedOnce)
 {
     PlanSimulation simulation(3);
     simulation.addPending("a");
@@ -240,8 +240,8 @@
     cr_assert_eq(simulation.loads(), 1);
 }
 
-// Every second other adapters are asked for than the engines hold, while reports come late and still list what was dropped. An engine that
-// is ordered beyond its places crashes, and all its requests with it.
+// Each second requests ask for other adapters than the engines hold, while late reports still list unloaded ones. An engine that is ordered
+// beyond its slots crashes, and all its requests fail.
 Test(adapterplan, changingDemandNeverOverfillsAnEngine)
 {
     PlanSimulation simulation(2);
@@ -256,8 +256,9 @@
     cr_assert_gt(simulation.loads(), 60);
 }
 
-// An engine accepts an order to drop an adapter but waits for a run on it. Its place is not free before that run has ended.
-Test(adapterplan, aPlaceIsNotFreeWhileTheAdapterStillRuns)
+// An engine accepts an order to unload an adapter but waits for a request that runs on it. The slot is not free before that request has
+// ended.
+Test(adapterplan, aSlotIsNotFreeWhileRequestsRunOnTheAdapter)
 {
     PlanSimulation simulation(1);
     for (const char *name : { "a", "b", "c" }) {
@@ -276,8 +277,8 @@
     cr_assert_eq(simulation.crashes(), 0);
 }
 
-// An adapter that requests run on is never dropped, however little it is asked for: its callers would lose their answers in the middle.
-Test(adapterplan, anAdapterInUseIsNeverDropped)
+// An adapter that requests run on is never unloaded, however unpopular it is; its callers' answers would break off.
+Test(adapterplan, anAdapterInUseIsNeverUnloaded)
 {
     PlanSimulation simulation(1);
     for (const char *name : { "a", "b", "c" }) {
@@ -294,8 +295,9 @@
     cr_assert_eq(simulation.crashes(), 0);
 }
 
-// A burst on one adapter makes all requests wait at its one engine while the others idle. It gets a second copy where there is room.
-Test(adapterplan, aCrowdedAdapterGetsAnotherCopy)
+// A burst of requests for one adapter makes all of them wait at one engine while the others idle. The adapter gets a second copy where
+// there is room.
+Test(adapterplan, anOverloadedAdapterGetsAnotherCopy)
 {
     PlanSimulation simulation(2);
     simulation.addPending("hot");
@@ -308,8 +310,8 @@
     cr_assert_eq(simulation.copies("hot"), 2);
 }
 
-// The copies of a busy adapter are crowded, but so is every other engine. Another copy would cost a load and help nobody.
-Test(adapterplan, aCrowdedAdapterGetsNoCopyThatDoesNotHelp)
+// The copies of a popular adapter are overloaded, but so is every other engine. Another copy would cost a load without shortening the wait.
+Test(adapterplan, anOverloadedAdapterGetsNoCopyThatDoesNotHelp)
 {
     PlanSimulation simulation(2);
     simulation.addPending("hot");
@@ -322,7 +324,7 @@
     cr_assert_eq(simulation.copies("hot"), 1);
 }
 
-// Adapters that are asked for often stay, and those asked for once go, when there are more of them than places.
+// With more adapters than slots, those that are requested often stay, and those that are requested once are evicted.
 Test(adapterplan, popularAdaptersStay)
 {
     PlanSimulation simulation(1);
@@ -339,9 +341,9 @@
     cr_assert(simulation.holds(0, "warm"));
 }
 
-// An engine crashes, and the store still lists it with all its adapters for seconds. Requests for them are told to wait for copies that
-// nobody can reach; instead they get another copy at once.
-Test(adapterplan, copiesAtACrashedEngineAreReplaced)
+// An engine crashes, and the store lists it with all its adapters for some more seconds. Requests would wait for copies that no node can
+// reach; the adapters are loaded on another engine at once instead.
+Test(adapterplan, copiesOnACrashedEngineAreReplaced)
 {
     PlanSimulation simulation(2);
     simulation.addPending("a");
@@ -352,9 +354,9 @@
     cr_assert(simulation.holds(1 - first, "a"));
 }
 
-// A node that lost a row still wants an adapter that stands in its place, and the plan asks the engine whether it does. Were the copy told
-// as missing meanwhile, all other nodes would hold their requests for it back, again and again while the one node asks.
-Test(adapterplan, aCopyThatIsAskedAboutStaysInUse)
+// A node that lost a residency still reports an adapter as pending that is loaded, and the plan polls the engine to verify it. If the copy
+// were announced as missing meanwhile, all other nodes would hold back their requests for it each time.
+Test(adapterplan, aCopyThatIsBeingVerifiedStaysInUse)
 {
     PlanSimulation simulation(1);
     simulation.addPending("a");
@@ -365,9 +367,9 @@
     }
 }
 
-// A zone is lost: an engine crashes together with the node that orders it, and the store lists the engine for some seconds more. If its
-// copies passed for usable, callers would wait for them until their patience ends although eight engines could load the adapters.
-Test(adapterplan, copiesAtAnUnreachableEngineAreReplacedByOtherPlans)
+// An engine crashes together with the node that gives it orders, as when a zone fails, and the store lists the engine for some more
+// seconds. If its copies counted as usable, callers would wait for them until they give up, although eight engines could load the adapters.
+Test(adapterplan, copiesOnAnUnreachableEngineAreReplacedByOtherPlans)
 {
     WeightStoreSimulation simulation(StoreParameters { 8, Duration(250), 48, 9, 8, 3 });
     simulation.runLoad(Duration::seconds(10), 100, 60, 1.0);
@@ -381,13 +383,13 @@
         simulation.ask(adapter);
     }
     simulation.run(Duration(1500));
-    cr_assert_leq(simulation.waitPercentile(1.0, crashedAt), 800, "the last waited %lld ms",
+    cr_assert_leq(simulation.waitPercentile(1.0, crashedAt), 800, "the last request waited %lld ms",
         static_cast<long long>(simulation.waitPercentile(1.0, crashedAt)));
 }
 
-// An engine crashes and starts again under the id that it had, without its holder losing the lease. If the rows of the new start count from
-// one again, all nodes take them for old ones: requests go to copies that are gone, or wait for copies that nobody tells of.
-Test(adapterplan, rowsOfAnEngineThatStartsAgainAreNews)
+// An engine crashes and restarts under the same id, and its lease holder stays the same. If the sequence of its residencies started at one
+// again, all nodes would drop them as old, and requests would go to copies that are gone or wait for copies that are never announced.
+Test(adapterplan, residenciesOfARestartedEngineAreNewer)
 {
     PlanSimulation simulation(1);
     for (const char *name : { "a", "b", "c" }) {
@@ -404,9 +406,9 @@
     cr_assert(simulation.isAnnouncedAsLoaded(0, "d"));
 }
 
-// More adapters are asked for than the store bears loads at once, again and again. Were wants met in the order of their names, callers of
-// the last names would be refused for as long as the rush lasts.
-Test(adapterplan, noNameWaitsForAllOthers)
+// More adapters are requested than the store can load at once. If pending adapters were served in the order of their names, requests for
+// the last names would be refused as long as the overload lasts.
+Test(adapterplan, pendingAdaptersAreNotServedInNameOrder)
 {
     PlanSimulation simulation(60);
     for (int i = 0; i < 60; ++i) {
--- a/tests/coordination/testengineslots.cpp
+++ b/tests/coordination/testengineslots.cpp
@@ -29,10 +29,10 @@
 
 } // namespace
 
-Test(engineSlots, theRarelyAskedForGoesThoughItWasUsedLast)
+Test(engineSlots, evictsTheLeastPopularAdapterEvenIfItWasUsedLast)
 {
-    // A run of requests for rare adapters sweeps over the slots. By last use the popular adapter goes, and its many callers all stall
-    // for a load that was never needed.
+    // Requests for many rarely used adapters pass through the slots. With eviction of the least recently used adapter, the popular one is
+    // evicted, and its many callers wait for an unnecessary load.
     EngineSlots engineSlots = withLoaded(2, { "popular", "rare" });
     for (int use = 0; use < 10; ++use) {
         engineSlots.recordRequest(adapter("popular"), Time(1000));
@@ -41,9 +41,9 @@
     cr_assert(engineSlots.beginEviction(false, Later) == adapter("rare"));
 }
 
-Test(engineSlots, whatWaitsOrRunsOrIsUsedElsewhereStays)
+Test(engineSlots, keepsAdaptersThatAreQueuedRunningOrUsedElsewhere)
 {
-    // Each reason alone must hold the adapter. Evicting it under a request, ours or another node's, cuts an answer off midway.
+    // Each reason alone must keep the adapter. Evicting it during a request of this or another node would break off the answer.
     EngineSlots engineSlots = withLoaded(1, { "a" });
     engineSlots.addRunning(adapter("a"));
     cr_assert(!engineSlots.beginEviction(true, Later).has_value());
@@ -64,22 +64,22 @@
 
 Test(engineSlots, aLoadOfUnknownOutcomeKeepsItsSlot)
 {
-    // A load times out, but the engine finished it. Were the slot taken for free, the next load would be one too many for the engine
-    // and fail, for a request that had nothing to do with it.
+    // A load times out although the engine finishes it. If the slot counted as free, the next load would exceed the engine's slots and
+    // fail, for an unrelated request.
     EngineSlots engineSlots = withLoaded(1, {});
     engineSlots.beginLoad(adapter("a"), Time(0));
     engineSlots.endLoad(adapter("a"), OrderOutcome::Unknown, Time(30'000));
     cr_assert_eq(engineSlots.freeSlots(), 0);
     cr_assert_not(engineSlots.isLoaded(adapter("a")));
-    cr_assert_eq(engineSlots.applyReport(Time(30'000), {}, {}, Time(30'100)).size(), 0, "a report from before says nothing");
+    cr_assert_eq(engineSlots.applyReport(Time(30'000), {}, {}, Time(30'100)).size(), 0, "an older report is ignored");
     cr_assert_eq(engineSlots.applyReport(Time(31'000), { adapter("a") }, {}, Time(31'100)).size(), 1);
     cr_assert(engineSlots.isLoaded(adapter("a")));
 }
 
-Test(engineSlots, aRequestOfTheOldStartStillHoldsItsAdapter)
+Test(engineSlots, aRequestFromBeforeARestartStillPinsItsAdapter)
 {
-    // The engine seems to have restarted, but it was only one adapter that it had dropped, and a request still runs on another. The
-    // adapter is loaded again; it must not go before that request has ended, and the count must not end below zero.
+    // The engine seems to have restarted, but it only unloaded one adapter, and a request still runs on another. That adapter is loaded
+    // again; it must not be evicted before the request has ended, and the count must not drop below zero.
     EngineSlots engineSlots = withLoaded(1, { "a" });
     engineSlots.addRunning(adapter("a"));
     engineSlots.onRestart();
@@ -92,7 +92,7 @@
     cr_assert(engineSlots.beginEviction(true, Later + Duration::seconds(9)).has_value());
 }
 
-Test(engineSlots, aRefusedEvictionKeepsTheAdapterAndIsNotRepeatedAtOnce)
+Test(engineSlots, aRefusedEvictionKeepsTheAdapterAndIsRetriedLater)
 {
     EngineSlots engineSlots = withLoaded(1, { "a" });
     cr_assert(engineSlots.beginEviction(true, Later).has_value());
@@ -102,10 +102,10 @@
     cr_assert(engineSlots.beginEviction(true, Later + Duration::seconds(2)).has_value());
 }
 
-Test(engineSlots, aFreshlyLoadedAdapterStaysAWhile)
+Test(engineSlots, aNewlyLoadedAdapterStaysForTheMinimumResidence)
 {
-    // Two adapters that take turns would evict each other at each request, a load apiece.
+    // Two adapters that are requested in turn would evict each other at each request, at the cost of a load each time.
     EngineSlots engineSlots = withLoaded(1, { "a" });
     cr_assert(!engineSlots.beginEviction(false, Time(300)).has_value());
-    cr_assert(engineSlots.beginEviction(true, Time(300)).has_value(), "urgent work does not wait for that");
+    cr_assert(engineSlots.beginEviction(true, Time(300)).has_value(), "urgent requests override the minimum residence");
 }
--- a/tests/coordination/testloadpermits.cpp
+++ b/tests/coordination/testloadpermits.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-Test(loadpermits, theMostUrgentOfTheFleetGoesFirst)
+Test(loadpermits, theMostUrgentRequestOfAllNodesGoesFirst)
 {
     PermitIssuer issuer({});
     issuer.grant(Time(1));
@@ -43,9 +43,10 @@
     cr_assert_eq(issuer.grant(Time(501)).front().name.adapter.id, AdapterId("patient"));
 }
 
-Test(loadpermits, aLostEngineHoldsBackLittle)
+Test(loadpermits, thePermitOfALostNodeExpires)
 {
-    // A node takes a permit and dies. Its load never ends; were it counted for ever, the fleet would stop loading after a few deaths.
+    // A node takes a permit and crashes, and its load never ends. If such permits did not expire, all loading would stop after a few
+    // crashes.
     LoadBudget budget;
     budget.parallel = 1;
     PermitIssuer issuer(budget);
@@ -56,7 +57,7 @@
     cr_assert_eq(issuer.grant(Time(2100)).size(), 1);
 }
 
-Test(loadpermits, theRequestOfALostAskerIsForgotten)
+Test(loadpermits, theRequestOfALostClientExpires)
 {
     LoadBudget budget;
     budget.parallel = 1;
@@ -68,7 +69,7 @@
     cr_assert_eq(issuer.waitingCount(), 0);
 }
 
-Test(loadpermits, anUnusedPermitGoesToTheNext)
+Test(loadpermits, anUnusedPermitGoesToTheNextRequest)
 {
     PermitIssuer issuer({});
     issuer.request(request("a", Priority::Urgent), Time(1));
@@ -78,9 +79,9 @@
     cr_assert_eq(issuer.grant(Time(2)).size(), 1);
 }
 
-Test(loadpermits, aSideOfAPartitionTakesItsShare)
+Test(loadpermits, eachSideOfAPartitionTakesItsShare)
 {
-    // The fleet splits in two, and each side has a giver. With the whole budget each, the store would be asked for twice its rate and
+    // A network partition leaves an issuer on each side. If each used the whole budget, the store would get twice its rate of loads and
     // every load would take twice as long.
     PermitIssuer issuer({});
     issuer.setShare(0.5, Time(1));
@@ -96,19 +97,19 @@
     cr_assert_leq(granted, 11);
 }
 
-Test(loadpermits, withoutAGiverANodeGoesByItsEvenPart)
+Test(loadpermits, withoutAnIssuerANodeUsesItsEqualPart)
 {
-    // The giver is lost. Engines must go on loading, or every cold adapter stalls until the view has settled.
+    // The issuer is lost. Engines must go on loading, or every adapter that is not loaded stalls until the nodes agree on a new issuer.
     PermitClient client(NodeId("n"), {});
     client.setFleet({ NodeId("giver") }, 10, Time(1));
     cr_assert_eq(count<SendToIssuer>(client.requestPermit(request("a", Priority::Urgent), Time(1))), 1);
     client.onIssuerReply(false, Time(2));
-    cr_assert_eq(count<PermitReceived>(client.tick(Time(1100))), 1, "the first load of its part is free at once");
+    cr_assert_eq(count<PermitReceived>(client.tick(Time(1100))), 1, "the first load of its part needs no wait");
     cr_assert_eq(count<PermitReceived>(client.requestPermit(request("b", Priority::Urgent), Time(1200))), 0, "2 a second over 10 nodes");
-    cr_assert_eq(count<SendToIssuer>(client.tick(Time(2300))), 1, "the giver is tried again");
+    cr_assert_eq(count<SendToIssuer>(client.tick(Time(2300))), 1, "the issuer is tried again");
 }
 
-Test(loadpermits, aGrantThatNobodyWaitsForGoesBack)
+Test(loadpermits, aGrantWithoutAWaitingRequestIsReleased)
 {
     PermitClient client(NodeId("n"), {});
     client.setFleet({ NodeId("giver") }, 1, Time(1));
@@ -119,9 +120,10 @@
     cr_assert_eq(count<SendToIssuer>(actions), 1);
 }
 
-Test(loadpermits, theGiverSaysHowLongTheFleetsQueueIs)
+Test(loadpermits, theIssuerEstimatesTheWaitOverAllNodes)
 {
-    // A burst hits all engines at once. Each has one load to wait for and thinks nothing of it; only the giver sees that they are ten.
+    // A burst reaches all engines at once. Each engine sees only its own load; the issuer estimates the wait from the requests of all of
+    // them.
     PermitIssuer issuer({});
     issuer.grant(Time(1));
     for (const char *adapterId : { "a", "b", "c", "d" }) {
@@ -134,10 +136,10 @@
     cr_assert_eq(issuer.expectedWait(Priority::Urgent), Duration(1500));
 }
 
-Test(loadpermits, aWithdrawalThatCrossesTheGrantDoesNotMintAPermit)
+Test(loadpermits, aWithdrawalThatCrossesTheGrantCreatesNoPermit)
 {
-    // An engine no longer wants a load just as its permit is sent. Were the withdrawal booked as a permit that came back, the permit
-    // would be spent twice, and the store be asked for more than it can give.
+    // An engine withdraws its request just as the permit is sent. If the withdrawal counted as the release of an unused permit, the permit
+    // would be spent twice, and the store would get more loads than it can serve.
     PermitIssuer issuer({});
     issuer.request(request("a", Priority::Urgent), Time(1));
     cr_assert_eq(issuer.grant(Time(1)).size(), 1);
--- a/tests/coordination/testloadqueue.cpp
+++ b/tests/coordination/testloadqueue.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-Test(loadqueue, urgentWaitersFirstThenWhatALoadServes)
+Test(loadqueue, urgentRequestsFirstThenSharedLoads)
 {
     LoadQueue queue({}, 1);
     queue.update(adapter("early"), demand(QueueLevel::Standard, 1, Time(0)), Time(1000));
@@ -29,9 +29,9 @@
     cr_assert(first == std::vector({ adapter("urgent"), adapter("shared"), adapter("early") }));
 }
 
-Test(loadqueue, aFailedLoadIsTriedAgainLaterAndNotForEver)
+Test(loadqueue, aFailedLoadIsRetriedWithBackoffAndALimit)
 {
-    // The store fails for one adapter. Asked for again at once and again, it would take the loads that others wait for.
+    // If an adapter whose load fails were retried in a tight loop, it would take the loads that others wait for.
     LoadQueue queue({}, 1);
     queue.update(adapter("bad"), demand(QueueLevel::Urgent, 1, Time(0)), Time(0));
     Time now(0);
@@ -48,14 +48,14 @@
     cr_assert_eq(tries, LoadQueueLimits {}.maxTries);
 }
 
-Test(loadqueue, enginesThatFailTogetherComeBackApart)
+Test(loadqueue, enginesThatFailTogetherRetryAtDifferentTimes)
 {
     LoadQueue one({}, 1);
     LoadQueue other({}, 2);
     cr_assert(one.onLoadFailed(adapter("a"), Time(0)) != other.onLoadFailed(adapter("a"), Time(0)));
 }
 
-Test(loadqueue, aLoadForPatientWorkWaitsForSharersButNotLong)
+Test(loadqueue, aLoadForPatientWorkWaitsForSharersForALimitedTime)
 {
     LoadQueueLimits limits;
     limits.batchShare = 1.0;
@@ -63,7 +63,7 @@
     queue.update(adapter("a"), demand(QueueLevel::Patient, 1, Time(0), Duration(100'000)), Time(0));
     cr_assert(queue.isEmpty());
     queue.wake(Time(10'000));
-    cr_assert_not(queue.isEmpty(), "a tenth of its allowance is over");
+    cr_assert_not(queue.isEmpty(), "the load waits for a tenth of the allowance");
     queue.update(adapter("b"), demand(QueueLevel::Patient, limits.targetSharers, Time(10'000)), Time(10'000));
-    cr_assert_eq(queue.first(9).size(), 2, "enough share the load");
+    cr_assert_eq(queue.first(9).size(), 2, "enough requests share the load");
 }
--- a/tests/coordination/testplacement.cpp
+++ b/tests/coordination/testplacement.cpp
@@ -52,9 +52,9 @@
 
 } // namespace
 
-Test(placement, allNodesAgreeWhateverTheOrderOfTheirLists)
+Test(placement, candidatesDoNotDependOnTheOrderOfLists)
 {
-    // Two nodes read the same facts in a different order. If they disagreed, one adapter would take slots on two engines.
+    // Two nodes read the same upstreams and nodes in a different order. If they disagreed, one adapter would take slots on two engines.
     auto turned = engines(20);
     std::reverse(turned.begin(), turned.end());
     auto otherFleet = fleet(6);
@@ -72,7 +72,7 @@
     }
 }
 
-Test(placement, homesFollowCapacity)
+Test(placement, preferredEnginesFollowCapacity)
 {
     auto mixed = engines(4);
     mixed[0].slots = 24;
@@ -87,7 +87,7 @@
 
 Test(placement, aLeavingEngineMovesOnlyItsOwnAdapters)
 {
-    // An engine leaves. Adapters at home elsewhere must stay, since each move costs a load from a slow store.
+    // An engine leaves. Adapters that prefer other engines must stay there, since each move costs a load from a slow store.
     const auto all = catalog(engines(9));
     auto without = fleet(3);
     without->leaving.insert(UpstreamId("e4"));
@@ -101,9 +101,9 @@
     }
 }
 
-Test(placement, anAdapterIsPlacedOnItsBaseModelAlone)
+Test(placement, anAdapterIsPlacedOnEnginesOfItsBaseModelOnly)
 {
-    // Two base models share the fleet. An adapter sent to an engine of the other model would fail to load, or answer nonsense.
+    // Two base models share the deployment. An adapter on an engine of the other model would fail to load or give meaningless answers.
     CatalogContent content;
     content.version = ConfigVersion(1);
     content.upstreams = engines(6);
--- a/tests/coordination/testspread.cpp
+++ b/tests/coordination/testspread.cpp
@@ -19,10 +19,10 @@
 
 } // namespace
 
-Test(hotspread, aHotAdapterSpreadsSlowlyAndComesBackWhenCool)
+Test(hotspread, aPopularAdapterSpreadsSlowlyAndNarrowsAgain)
 {
-    // A lesson goes round and its adapter gets forty requests at once for a while. On one engine its callers would queue; a spread that
-    // jumps would start four cold copies at once.
+    // An adapter gets forty requests at once for a while. On one engine its requests would queue; a spread that widened at once would need
+    // loads of four copies at the same time.
     HotSpread spread({});
     const AdapterKey hot = adapter(1);
     cr_assert_eq(spread.width(hot, Time(0)), 1);
@@ -43,9 +43,10 @@
     cr_assert_eq(spread.width(hot, Time(200'000)), 1);
 }
 
-Test(hotspread, aPopularityThatFlickersAtTheThresholdDoesNotFlap)
+Test(hotspread, demandThatVariesAroundTheThresholdDoesNotOscillate)
 {
-    // Demand swings a third around what one engine bears. Each swing that loaded and evicted a copy would cost two of the store's loads.
+    // Demand varies by a third around what one engine takes. If each change loaded and evicted a copy, it would cost two loads from the
+    // store.
     HotSpread spread({});
     const AdapterKey hot = adapter(1);
     int inProgress = 0;
@@ -68,7 +69,7 @@
     cr_assert_eq(turns, 0);
 }
 
-Test(hotspread, theTableForgetsWhatIsCold)
+Test(hotspread, unpopularAdaptersAreRemovedFromTheTable)
 {
     SpreadLimits limits;
     limits.capacity = 100;
@@ -80,7 +81,7 @@
     cr_assert_leq(spread.trackedCount(), 100);
 }
 
-Test(replicachoice, aKnownDeepQueueIsAvoidedAndLoadIsSharedEvenly)
+Test(replicachoice, avoidsLongQueuesAndBalancesLoad)
 {
     std::mt19937_64 random(3);
     std::array<ReplicaView, 4> views;
@@ -95,9 +96,9 @@
     cr_assert_eq(*chooseReplica(views, 1, random), 0);
 }
 
-Test(replicachoice, ejectedAndTriedOnesAreSkippedAndAReturningOneGetsItsShare)
+Test(replicachoice, skipsEjectedAndTriedCandidatesAndLimitsThoseInSlowStart)
 {
-    // The home of an adapter is ejected: its requests go on to the next candidate rather than to an error.
+    // The preferred engine of an adapter is ejected: its requests go to the next candidate and do not fail.
     std::mt19937_64 random(3);
     std::array<ReplicaView, 3> views;
     views[0].share = 0;
@@ -116,7 +117,7 @@
     cr_assert_not(chooseReplica(views, 1, random).has_value());
 }
 
-Test(replicachoice, aPrefixHintTipsOnlyNearlyEqualQueues)
+Test(replicachoice, aPrefixHintDecidesOnlyBetweenNearlyEqualQueues)
 {
     std::mt19937_64 random(3);
     std::array<ReplicaView, 2> views;
@@ -128,9 +129,9 @@
     cr_assert_eq(*chooseReplica(views, 2, random), 0);
 }
 
-Test(prefixhints, aGapVoidsWhatWasBelievedOfThatEngine)
+Test(prefixhints, aGapInvalidatesTheHintsOfThatEngine)
 {
-    // The engine's events got lost, a removal perhaps among them. Requests would be sent after a prefix that is no longer there.
+    // Events of an engine got lost, possibly the removal of a prefix. Requests would be sent to an engine that no longer holds it.
     const UpstreamId one("e1");
     const UpstreamId two("e2");
     PrefixHints hints({});
@@ -144,7 +145,7 @@
     cr_assert_not(hints.holds(two, 77, Time(0) + PrefixHintLimits {}.maxAge));
 }
 
-Test(prefixhints, lateEventsNeverAddAndRestartsClear)
+Test(prefixhints, lateEventsAddNoHintsAndRestartsClearThem)
 {
     const UpstreamId one("e1");
     PrefixHints hints({});
@@ -159,7 +160,7 @@
     cr_assert_not(hints.holds(one, 3, Time(6)));
 }
 
-Test(prefixhints, theTableStaysBounded)
+Test(prefixhints, theNumberOfHintsIsBounded)
 {
     PrefixHints hints({ 100, Duration::seconds(120) });
     for (std::uint64_t i = 1; i <= 10'000; ++i) {
--- a/tests/coordination/weightstoresimulation.h
+++ b/tests/coordination/weightstoresimulation.h
@@ -16,7 +16,7 @@
 namespace ApricotStep
 {
 
-/** What an engine with @a held adapters and @a coming ones reports of itself. */
+/** The report of an engine that holds the adapters @a held and is loading those in @a coming. */
 template<typename Engine>
 EngineReport reportOfEngine(const Engine &engine)
 {
@@ -32,25 +32,25 @@
     return report;
 }
 
-/** The weight store and the engines of a deployment. */
+/** Parameters of the weight store and the engines of a deployment. */
 struct StoreParameters
 {
-    /** So many fetches share the store without slowing each other down. */
+    /** Number of concurrent fetches that do not slow each other down. */
     int fullSpeedFetches = 8;
     Duration fetch { 250 };
-    /** Adapters that an engine keeps at hand, those in its places included. */
+    /** Number of adapters that an engine caches, including those in its slots. */
     std::size_t cached = 48;
     int engines = 9;
     int slots = 8;
-    /** Nodes that order a part of the engines each. */
+    /** Number of nodes that each give orders to a part of the engines. */
     int plans = 3;
-    /** What a slow node and its link add to each load before it is seen to be done. */
+    /** Delay that a slow node and its link add before a load is observed to be done. */
     Duration observationDelay { 0 };
 };
 
 /**
- * Engines that fetch adapters from one store, a few nodes that plan their loads, and requests that wait for adapters. All runs on one
- * made-up clock; rows and answers arrive at once.
+ * Simulates engines that fetch adapters from one store, a few nodes that plan their loads, and requests that wait for adapters. All of it
+ * runs on one simulated clock; residencies and answers arrive at once.
  */
 class WeightStoreSimulation
 {
@@ -75,12 +75,12 @@
         }
     }
 
-    /** A request for @p adapter arrives now and runs for @p work once a copy stands. */
+    /** A request for @p adapter arrives now and runs for @p work once a copy is loaded. */
     void ask(const std::string &adapter, Duration work = Duration(200))
     {
         m_requests.push_back(Request { adapter, m_now, Time(), work, -1, false });
     }
-    /** @p perSecond requests for adapters of Zipf popularity, with exponent @p skew over @p adapters of them. */
+    /** Simulates @p perSecond requests for @p adapters adapters of Zipf popularity with exponent @p skew. */
     void runLoad(Duration span, double perSecond, int adapters, double skew)
     {
         std::vector<double> weights;
@@ -103,22 +103,22 @@
             step();
         }
     }
-    /** Nothing listens at the engine any more; its entry and its copies stay listed. */
+    /** The engine stops answering; its record and its copies stay listed. */
     void crash(int engine)
     {
         m_engines[static_cast<std::size_t>(engine)].isDown = true;
     }
-    /** The node of this plan is gone, and nobody orders its engines yet. */
+    /** The node of this plan stops, and no other node gives orders to its engines yet. */
     void stopPlan(std::size_t plan)
     {
         m_nodes[plan]->isStopped = true;
     }
-    /** What stands at an engine. */
+    /** The adapters that are loaded on an engine. */
     const std::vector<std::string> &held(int engine) const
     {
         return m_engines[static_cast<std::size_t>(engine)].held;
     }
-    /** The node of this plan is replaced by one that knows nothing but what the others tell it, and the rows. */
+    /** Replaces the node of this plan by one that knows only the residencies and what the other nodes send it. */
     void replaceNode(std::size_t index)
     {
         auto node = std::make_unique<Node>();
@@ -126,7 +126,7 @@
         node->plan = std::make_unique<AdapterPlan>(AdapterPlanLimits {}, FencingToken(500 + index), node->loads);
         m_nodes[index] = std::move(node);
     }
-    /** All nodes start anew and know nothing; engines keep what they have. */
+    /** Restarts all nodes without any knowledge; engines keep their adapters. */
     void restartNodes()
     {
         std::uint64_t fence = 1000;
@@ -136,7 +136,7 @@
         }
     }
 
-    /** Waits of the requests that arrived since @p since, in order; one that still waits counts until now. */
+    /** Sorted waits of the requests that arrived since @p since; those of requests that still wait count until now. */
     std::vector<std::int64_t> waits(Time since = Time()) const
     {
         std::vector<std::int64_t> result;
@@ -153,14 +153,14 @@
         const auto sorted = waits(since);
         return sorted.empty() ? 0 : sorted[static_cast<std::size_t>(share * static_cast<double>(sorted.size() - 1))];
     }
-    /** The part of the requests that arrived since @p since and began within their objective. */
+    /** Fraction of the requests that arrived since @p since and began within their objective. */
     double shareInTime(Time since = Time()) const
     {
         const auto sorted = waits(since);
         const auto late = std::upper_bound(sorted.begin(), sorted.end(), Objective.milliseconds());
         return static_cast<double>(late - sorted.begin()) / static_cast<double>(std::max<std::size_t>(sorted.size(), 1));
     }
-    /** Fetches ordered from the store, since the start. */
+    /** Number of fetches ordered from the store since the start. */
     int fetches() const
     {
         return m_fetches;
@@ -211,7 +211,7 @@
     {
         std::vector<std::string> held;
         std::vector<Load> loading;
-        /** The latest held last. */
+        /** The most recently loaded adapter is last. */
         std::deque<std::string> cached;
         bool isDown = false;
     };
