--- a/tests/coordination/testadapterloadestimator.cpp
+++ b/tests/coordination/testadapterloadestimator.cpp
@@ -80,14 +80,14 @@
     WeightStoreSimulation simulation(parameters);
     simulation.runLoad(Duration::seconds(20), 40, 200, 1.0);
     // Engines have unloaded most of these adapters long ago; few may be expected to be cached.
-    int believed = 0;
+    int expectedCached = 0;
     for (int engine = 0; engine < parameters.engines; ++engine) {
         for (int adapter = 0; adapter < 200; ++adapter) {
             const AdapterRef ref { BaseModelId("m"), AdapterId("a" + std::to_string(adapter)) };
-            believed += simulation.loads().cacheHitProbability(UpstreamId("e" + std::to_string(engine)), ref) > 0.5 ? 1 : 0;
+            expectedCached += simulation.loads().cacheHitProbability(UpstreamId("e" + std::to_string(engine)), ref) > 0.5 ? 1 : 0;
         }
     }
-    cr_assert_leq(believed, 60);
+    cr_assert_leq(expectedCached, 60);
 }
 
 // All nodes restart while the engines keep running. The first loads that the new nodes observe are of cached adapters, ten times as fast as
