--- a/main/callerfrontend.cpp
+++ b/main/callerfrontend.cpp
@@ -441,7 +441,7 @@
     d->lingerUntilMs = lingerUntil.milliseconds();
 }
 
-void CallerFrontend::permitAnswered(const UpstreamId &upstream, const SchedulerEvent &event)
+void CallerFrontend::onPermitEvent(const UpstreamId &upstream, const SchedulerEvent &event)
 {
     std::shared_ptr<EngineRunner> runner;
     {
@@ -450,7 +450,7 @@
         runner = at == d->engines.end() ? nullptr : at->second;
     }
     if (runner != nullptr) {
-        runner->permitAnswered(event);
+        runner->onPermitEvent(event);
     }
 }
 
--- a/main/callerfrontend.h
+++ b/main/callerfrontend.h
@@ -45,7 +45,7 @@
     void drain(Time lingerUntil);
     void tick();
     /** What became of an engine's wish for a load permit. */
-    void permitAnswered(const UpstreamId &upstream, const SchedulerEvent &event);
+    void onPermitEvent(const UpstreamId &upstream, const SchedulerEvent &event);
     /** The engines that this node has run work on. */
     std::vector<EngineStatus> engineStatus() const;
 
--- a/main/enginerunner.cpp
+++ b/main/enginerunner.cpp
@@ -566,7 +566,7 @@
 
 EngineRunner::~EngineRunner() = default;
 
-void EngineRunner::permitAnswered(const SchedulerEvent &event)
+void EngineRunner::onPermitEvent(const SchedulerEvent &event)
 {
     d->handle(event);
 }
--- a/main/enginerunner.h
+++ b/main/enginerunner.h
@@ -48,7 +48,7 @@
     ~EngineRunner();
 
     /** An answer to a wish for a load permit: PermitGranted or PermitWaitEstimated. */
-    void permitAnswered(const SchedulerEvent &event);
+    void onPermitEvent(const SchedulerEvent &event);
     /** Takes a job; it ends with an answer on its exchange. */
     void submit(CompletionJob job);
     /** Lets time pass; every 20 to 100 ms. */
--- a/main/node.cpp
+++ b/main/node.cpp
@@ -68,7 +68,7 @@
         , platform(*settings, *client, clock, [this](VmList list) { vmListRead(std::move(list)); })
     {
         metrics.feed(levels, clock);
-        permits.onAnswer([this](const UpstreamId &upstream, const SchedulerEvent &event) { frontend.permitAnswered(upstream, event); });
+        permits.onAnswer([this](const UpstreamId &upstream, const SchedulerEvent &event) { frontend.onPermitEvent(upstream, event); });
     }
 
     ~Private()
