--- a/main/node.cpp
+++ b/main/node.cpp
@@ -122,7 +122,7 @@
 
 void Node::Private::vmListRead(VmList list)
 {
-    permits.setListed(static_cast<int>(
+    permits.setListedNodeCount(static_cast<int>(
         std::count_if(list.vms.begin(), list.vms.end(), [](const VmRecord &vm) { return vm.role == VmRole::Entry && !vm.leaving; })));
     membership->vmListRead(std::move(list));
 }
@@ -206,7 +206,7 @@
             d->config.versionHeard(*fact);
         }
     });
-    d->rpc->servePart(std::string(PermitPart), [d](const std::string &bytes) { return d->permits.take(bytes); });
+    d->rpc->servePart(std::string(PermitPart), [d](const std::string &bytes) { return d->permits.receive(bytes); });
     d->rpc->servePart(LedgerPart, [d](const std::string &bytes) { return d->takeLedgerBatch(bytes); });
     d->membership->onRumour([d](const Rumour &rumour) {
         if (const auto *fact = std::get_if<HandOffFact>(&rumour)) {
--- a/main/permitrunner.cpp
+++ b/main/permitrunner.cpp
@@ -252,7 +252,7 @@
     d->carryOut(std::move(errands));
 }
 
-Result<std::string> PermitRunner::take(const std::string &message)
+Result<std::string> PermitRunner::receive(const std::string &message)
 {
     const auto decoded = decodePermitMessage(message);
     if (!decoded.isOk()) {
@@ -270,7 +270,7 @@
     return answer;
 }
 
-void PermitRunner::setListed(int nodes)
+void PermitRunner::setListedNodeCount(int nodes)
 {
     const absl::MutexLock lock(&d->mutex);
     d->isFleetDue = d->isFleetDue || nodes != d->listed;
--- a/main/permitrunner.h
+++ b/main/permitrunner.h
@@ -39,9 +39,9 @@
     void requestPermit(const UpstreamId &upstream, const RequestPermit &wish);
     void release(const UpstreamId &upstream, const ReleasePermit &returned);
     /** A message of another node; gives the answer for it. Errors: BadRequest. */
-    Result<std::string> take(const std::string &message);
+    Result<std::string> receive(const std::string &message);
     /** How many nodes the VM list names. */
-    void setListed(int nodes);
+    void setListedNodeCount(int nodes);
     /** Lets time pass; every 20 to 100 ms. */
     void tick();
     /** From here on nothing is sent and no answer comes. */
--- a/tests/main/testpermitrunner.cpp
+++ b/tests/main/testpermitrunner.cpp
@@ -84,7 +84,7 @@
             if (isCut || at == members.end()) {
                 letter.done(Error { ErrorKind::PeerUnreachable, "cut" });
             } else {
-                letter.done(at->second.runner->take(letter.message));
+                letter.done(at->second.runner->receive(letter.message));
             }
         }
     }
@@ -100,7 +100,7 @@
                     wishes[id] = { AdapterId("a" + std::to_string(++serial)), AdapterVersion("1") };
                     member.runner->requestPermit(UpstreamId("e" + id), { wishes[id], Priority::Standard, 1, Duration() });
                 }
-                member.runner->setListed(size);
+                member.runner->setListedNodeCount(size);
                 member.runner->tick();
                 deliver();
                 for (; !member.granted.empty(); member.granted.pop_front()) {
