--- a/main/callerfrontend.cpp
+++ b/main/callerfrontend.cpp
@@ -345,7 +345,7 @@
         return;
     }
     if (request.parameter("once") == "1") {
-        answer.key = parts.services.oneTime().mintKey();
+        answer.key = parts.services.oneTimeRequests().mintKey();
     }
     respondJson(exchange, addressBody(answer));
 }
@@ -354,7 +354,7 @@
 void CallerFrontend::Private::passOnKeyed(const ServiceJob &job, const IdempotencyKey &key)
 {
     ForwardJob forward;
-    std::vector<NodeId> nodes = parts.services.oneTime().successors(key);
+    std::vector<NodeId> nodes = parts.services.oneTimeRequests().successors(key);
     nodes.push_back(key.node);
     for (const NodeId &id : nodes) {
         const NodeView *node = id == parts.self ? nullptr : job.fleet->node(id);
@@ -427,7 +427,7 @@
     } else if (path == "/v1/address") {
         d->address(request, *exchange, *catalog, *d->placer.placement(catalog, fleet));
     } else if (path == "/v1/keys" && request.method == "POST") {
-        respondJson(*exchange, keyBody(d->parts.services.oneTime().mintKey(), d->parts.settings.duration("keys.lifetime_ms")));
+        respondJson(*exchange, keyBody(d->parts.services.oneTimeRequests().mintKey(), d->parts.settings.duration("keys.lifetime_ms")));
     } else if (path == "/v1/models") {
         respondJson(*exchange, modelsBody(*catalog, MaxModelsListed));
     } else {
--- a/main/node.cpp
+++ b/main/node.cpp
@@ -148,7 +148,7 @@
 Result<std::string> Node::Private::takeLedgerBatch(const std::string &bytes)
 {
     HandOffFact fact;
-    const auto isWhole = services.oneTime().takeBatch(bytes, &fact);
+    const auto isWhole = services.oneTimeRequests().receiveBatch(bytes, &fact);
     if (!isWhole.isOk()) {
         return isWhole.error();
     }
@@ -161,7 +161,7 @@
 
 void Node::Private::handOver()
 {
-    const std::vector<SealedLedger> ledgers = services.oneTime().seal();
+    const std::vector<SealedLedger> ledgers = services.oneTimeRequests().seal();
     const auto view = fleet.get();
     const auto candidates = view == nullptr ? std::vector<NodeView>() : successorsFor(NodeId(settings->text("node.id")), *view);
     const auto successor = handOverLedgers(*rpc, ledgers, candidates);
@@ -210,7 +210,7 @@
     d->rpc->servePart(LedgerPart, [d](const std::string &bytes) { return d->takeLedgerBatch(bytes); });
     d->membership->onRumour([d](const Rumour &rumour) {
         if (const auto *fact = std::get_if<HandOffFact>(&rumour)) {
-            d->services.oneTime().learn(*fact);
+            d->services.oneTimeRequests().learn(*fact);
         }
     });
     d->operatorPort = std::make_unique<OperatorPort>(OperatorParts { *d->settings, d->clock, d->incarnation, d->metrics, d->levels,
@@ -285,7 +285,7 @@
     while (d->clock.now() < lingerUntil) {
         std::this_thread::sleep_for(DrainCheckInterval);
     }
-    d->services.oneTime().stopAccepting();
+    d->services.oneTimeRequests().stopAccepting();
     d->callers->stopAccepting();
     while (d->isBusy()) {
         std::this_thread::sleep_for(DrainCheckInterval);
--- a/main/onetimerequests.cpp
+++ b/main/onetimerequests.cpp
@@ -217,7 +217,7 @@
     return all;
 }
 
-Result<bool> OneTimeRequests::takeBatch(const std::string &bytes, HandOffFact *fact)
+Result<bool> OneTimeRequests::receiveBatch(const std::string &bytes, HandOffFact *fact)
 {
     auto batch = decodeLedgerBatch(bytes);
     if (!batch.isOk()) {
--- a/main/onetimerequests.h
+++ b/main/onetimerequests.h
@@ -51,7 +51,7 @@
      * Takes a batch of a leaving node's ledger. Returns whether it was the last one and the ledger is held now. Errors: BadRequest,
      * Draining, LedgerFull.
      */
-    Result<bool> takeBatch(const std::string &bytes, HandOffFact *fact);
+    Result<bool> receiveBatch(const std::string &bytes, HandOffFact *fact);
 
     /** Which nodes may answer for a key that this one does not hold, as the fleet tells. */
     void learn(const HandOffFact &fact);
--- a/main/operatorport.cpp
+++ b/main/operatorport.cpp
@@ -123,8 +123,8 @@
     json["engines"] = Json::array();
     json["leaving_nodes"] = Json::array();
     json["leaving_upstreams"] = Json::array();
-    json["ledger_entries"] = m_parts.services.oneTime().size();
-    json["ledger_bytes"] = m_parts.services.oneTime().bytes();
+    json["ledger_entries"] = m_parts.services.oneTimeRequests().size();
+    json["ledger_bytes"] = m_parts.services.oneTimeRequests().bytes();
     json["fresh"] = m_parts.membership.isFresh();
     const MembershipCounters counters = m_parts.membership.counters();
     json["membership"] = { { "suspicions", counters.suspicions }, { "deaths", counters.deaths }, { "refutations", counters.refutations },
--- a/main/servicerunner.cpp
+++ b/main/servicerunner.cpp
@@ -96,7 +96,7 @@
 {
     Private(NodeId node, Incarnation start, const Settings &allSettings, HttpClient &httpClient, const Clock &aClock, Metrics &allMetrics,
         UpstreamHealth &upstreamHealth)
-        : oneTime(std::move(node), start, allSettings, aClock)
+        : oneTimeRequests(std::move(node), start, allSettings, aClock)
         , settings(allSettings)
         , client(httpClient)
         , clock(aClock)
@@ -107,7 +107,7 @@
     {
     }
 
-    OneTimeRequests oneTime;
+    OneTimeRequests oneTimeRequests;
     std::atomic<int> active { 0 };
     const Settings &settings;
     HttpClient &client;
@@ -163,7 +163,7 @@
 {
     const ServiceJob &job = running->job;
     const IdempotencyKey &key = running->key;
-    if (!oneTime.holds(key)) {
+    if (!oneTimeRequests.holds(key)) {
         // Only the start that minted the key, or its successor, knows whether it ran. Running it here would double it.
         if (job.passOn) {
             job.passOn(job, key);
@@ -172,7 +172,7 @@
         }
         return false;
     }
-    const LedgerDecision decision = oneTime.accept(key, requestHash(job), { job.exchange, job.requestId });
+    const LedgerDecision decision = oneTimeRequests.accept(key, requestHash(job), { job.exchange, job.requestId });
     return std::visit(Overloaded {
                           [&](const RunNow &) {
                               running->hasKey = true;
@@ -180,7 +180,7 @@
                               if (canStart(running)) {
                                   return true;
                               }
-                              oneTime.fail(key);
+                              oneTimeRequests.fail(key);
                               return false;
                           },
                           [&](const WaitForFirst &) { return false; },
@@ -217,7 +217,7 @@
     }
     ErrorDetails details;
     details.requestId = job.requestId;
-    details.key = oneTime.mintKey();
+    details.key = oneTimeRequests.mintKey();
     respondError(*job.exchange, kind, details);
 }
 
@@ -229,7 +229,7 @@
     if (!running->hasKey) {
         return true;
     }
-    return oneTime.markSent(running->key);
+    return oneTimeRequests.markSent(running->key);
 }
 
 // Ejected upstreams come last: when all others are full or out, trying one is better than refusing.
@@ -351,7 +351,7 @@
 void ServiceRunner::Private::settle(const RunningPointer &running, const StoredAnswer &stored)
 {
     const ServiceJob &job = running->job;
-    const auto waiters = running->hasKey ? oneTime.complete(running->key, stored) : std::vector<OneTimeWaiter>();
+    const auto waiters = running->hasKey ? oneTimeRequests.complete(running->key, stored) : std::vector<OneTimeWaiter>();
     metrics.serviceCall(job.service.value(), stored.status, clock.now() - running->arrivedAt);
     log->info("[{}] service={} outcome=ok status={} attempts={}", job.requestId, job.service.value(), stored.status, running->attempts);
     --active;
@@ -364,7 +364,7 @@
 void ServiceRunner::Private::settleFailed(const RunningPointer &running, ErrorKind kind, const std::string &detail)
 {
     const ServiceJob &job = running->job;
-    const auto waiters = running->hasKey ? oneTime.fail(running->key) : std::vector<OneTimeWaiter>();
+    const auto waiters = running->hasKey ? oneTimeRequests.fail(running->key) : std::vector<OneTimeWaiter>();
     metrics.serviceFailed(job.service.value(), kind);
     log->info("[{}] service={} outcome={} detail='{}' attempts={}", job.requestId, job.service.value(), errorAnswer(kind).word, detail,
         running->attempts);
@@ -385,12 +385,12 @@
 
 std::string ServiceRunner::mintKey()
 {
-    return d->oneTime.mintKey();
+    return d->oneTimeRequests.mintKey();
 }
 
-OneTimeRequests &ServiceRunner::oneTime()
+OneTimeRequests &ServiceRunner::oneTimeRequests()
 {
-    return d->oneTime;
+    return d->oneTimeRequests;
 }
 
 void ServiceRunner::submit(ServiceJob job)
@@ -426,7 +426,7 @@
 {
     const Time now = d->clock.now();
     d->paused.run(now);
-    d->oneTime.tick();
+    d->oneTimeRequests.tick();
 }
 
 } // namespace ApricotStep
--- a/main/servicerunner.h
+++ b/main/servicerunner.h
@@ -46,7 +46,7 @@
 
     /** A fresh idempotency key that only this start of this node runs. */
     std::string mintKey();
-    OneTimeRequests &oneTime();
+    OneTimeRequests &oneTimeRequests();
     /** Calls in progress; a one-time call goes on when its caller has left. */
     int activeCount() const;
     /** Takes a call; it ends with an answer on its exchange. */
--- a/tests/main/testonetimerequests.cpp
+++ b/tests/main/testonetimerequests.cpp
@@ -46,7 +46,7 @@
     const auto to = startRpc();
     HandOffFact fact;
     to->servePart(LedgerPart, [&](const std::string &bytes) -> Result<std::string> {
-        const auto taken = staying.takeBatch(bytes, &fact);
+        const auto taken = staying.receiveBatch(bytes, &fact);
         return taken.isOk() ? Result<std::string>(std::string()) : Result<std::string>(taken.error());
     });
     const std::vector<NodeView> candidates { { NodeId("n3"), ZoneId("a"), "", "127.0.0.1:1" },
@@ -58,7 +58,7 @@
         const auto decision = staying.accept(keys[static_cast<std::size_t>(i)], "h", {});
         cr_assert(std::get<Replay>(decision).answer.body.ends_with("r" + std::to_string(i)));
     }
-    cr_assert_not(leaving.takeBatch(encodeLedger(staying.seal().front(), 1000).front(), &fact).isOk(), "a sealed node takes no ledger");
+    cr_assert_not(leaving.receiveBatch(encodeLedger(staying.seal().front(), 1000).front(), &fact).isOk(), "a sealed node takes no ledger");
 }
 
 Test(onetimerequests, aMissingBatchIsNotTakenForAWholeLedger)
@@ -73,8 +73,8 @@
     const auto batches = encodeLedger(ledger, 1000);
     cr_assert_eq(batches.size(), 3);
     HandOffFact fact;
-    cr_assert_not(staying.takeBatch(batches[0], &fact).value());
-    cr_assert_not(staying.takeBatch(batches[2], &fact).isOk());
+    cr_assert_not(staying.receiveBatch(batches[0], &fact).value());
+    cr_assert_not(staying.receiveBatch(batches[2], &fact).isOk());
     cr_assert_not(staying.holds({ NodeId("n1"), Incarnation(1), Time(1), 0 }));
-    cr_assert_not(staying.takeBatch("nonsense", &fact).isOk());
+    cr_assert_not(staying.receiveBatch("nonsense", &fact).isOk());
 }
