--- a/main/enginerunner.h
+++ b/main/enginerunner.h
@@ -22,7 +22,7 @@
     UpstreamId id;
     int queued = 0;
     int running = 0;
-    std::vector<AdapterKey> residents;
+    std::vector<AdapterKey> residentAdapters;
 };
 
 /** What the runners of engines share. All must outlive them and every call that they started. */
--- a/main/operatorport.cpp
+++ b/main/operatorport.cpp
@@ -144,7 +144,7 @@
     }
     for (const EngineStatus &engine : m_parts.frontend.engineStatus()) {
         json["engines"].push_back({ { "id", engine.id.value() }, { "queued", engine.queued }, { "running", engine.running },
-            { "resident", engine.residents.size() } });
+            { "resident", engine.residentAdapters.size() } });
     }
     return json.dump(2) + "\n";
 }
