--- a/tests/main/rig.h
+++ b/tests/main/rig.h
@@ -18,7 +18,7 @@
 
 // What tests of the runners share: a caller's side that records its answer, and an upstream on a port of its own.
 
-namespace Rig
+namespace Fixtures
 {
 
 using namespace ApricotStep;
@@ -95,7 +95,7 @@
         return std::any_of(m_headers.begin(), m_headers.end(), [name](const auto &header) { return header.first == name; });
     }
     /** Closes the connection before the answer is whole. */
-    void leave() const
+    void disconnect() const
     {
         m_gone();
     }
@@ -132,7 +132,7 @@
 };
 
 /** The rest of a node, as far as runners need it. The client ends first, while what its callbacks use still stands. */
-struct Parts
+struct NodeFixture
 {
     SystemClock clock;
     Metrics metrics;
@@ -145,4 +145,4 @@
     std::unique_ptr<HttpClient> client = std::make_unique<HttpClient>();
 };
 
-} // namespace Rig
+} // namespace Fixtures
--- a/tests/main/scriptedupstream.cpp
+++ b/tests/main/scriptedupstream.cpp
@@ -7,7 +7,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-namespace Rig
+namespace Fixtures
 {
 
 ScriptedUpstream::ScriptedUpstream(Script script)
@@ -120,4 +120,4 @@
     close(socket);
 }
 
-} // namespace Rig
+} // namespace Fixtures
--- a/tests/main/scriptedupstream.h
+++ b/tests/main/scriptedupstream.h
@@ -9,7 +9,7 @@
 #include <thread>
 #include <vector>
 
-namespace Rig
+namespace Fixtures
 {
 
 /** Defines how a scripted upstream answers one request. */
@@ -72,4 +72,4 @@
     std::thread m_acceptor;
 };
 
-} // namespace Rig
+} // namespace Fixtures
--- a/tests/main/testcallerfrontend.cpp
+++ b/tests/main/testcallerfrontend.cpp
@@ -83,7 +83,7 @@
     // A configuration has just moved a label to a new version, and the owner of the engine has not seen it yet. Forwarded with its label,
     // the request would resolve again there and run on the version before: the caller would get an answer of the adapter it had replaced.
     TwoNodes nodes;
-    nodes.frontend.handle(nodes.completion("track=stable"), std::make_shared<Rig::Caller>());
+    nodes.frontend.handle(nodes.completion("track=stable"), std::make_shared<Fixtures::Caller>());
     cr_assert(nodes.peers.address == "127.0.0.1:22");
     cr_assert_eq(nodes.peers.hopsSoFar, 1);
     cr_assert(nlohmann::json::parse(nodes.peers.forwarded.body)["model"] == "lessons@2", "%s", nodes.peers.forwarded.body.c_str());
@@ -94,11 +94,11 @@
     // The same moment, seen from the owner: it is asked for a version that only the newer configuration has. Told 'no such adapter, never
     // ask again', the caller would give up on something that is there.
     TwoNodes nodes;
-    const auto forwarded = std::make_shared<Rig::Caller>();
+    const auto forwarded = std::make_shared<Fixtures::Caller>();
     nodes.frontend.handle(nodes.completion("lessons@3"), forwarded, 1);
     cr_assert(forwarded->says("\"code\":\"not_ready\""));
     cr_assert(forwarded->says("\"not_run\":true"));
-    const auto direct = std::make_shared<Rig::Caller>();
+    const auto direct = std::make_shared<Fixtures::Caller>();
     nodes.frontend.handle(nodes.completion("lessons@3"), direct);
     cr_assert(direct->says("\"code\":\"unknown_selector\""));
 }
--- a/tests/main/testentrynode.cpp
+++ b/tests/main/testentrynode.cpp
@@ -20,8 +20,8 @@
 #include <criterion/criterion.h>
 
 using namespace ApricotStep;
-using Rig::ScriptedAnswer;
-using Rig::ScriptedUpstream;
+using Fixtures::ScriptedAnswer;
+using Fixtures::ScriptedUpstream;
 
 namespace
 {
--- a/tests/main/testonetimerequests.cpp
+++ b/tests/main/testonetimerequests.cpp
@@ -6,7 +6,7 @@
 
 #include <criterion/criterion.h>
 
-using namespace Rig;
+using namespace Fixtures;
 
 namespace
 {
@@ -32,7 +32,7 @@
     // A node with many payments behind it is replaced. The first successor cannot be reached; the next takes all batches, and a repeat
     // there gets the first receipt, without a second charge.
     constexpr int Payments = 200;
-    Parts parts;
+    NodeFixture parts;
     OneTimeRequests leaving(NodeId("n1"), Incarnation(1), *parts.settings, parts.clock);
     OneTimeRequests staying(NodeId("n2"), Incarnation(1), *parts.settings, parts.clock);
     std::vector<IdempotencyKey> keys;
@@ -64,7 +64,7 @@
 Test(onetimerequests, aMissingBatchIsNotTakenForAWholeLedger)
 {
     // A batch is lost on the way. Taken for whole, the ledger would say 'not run' of payments that ran.
-    Parts parts;
+    NodeFixture parts;
     OneTimeRequests staying(NodeId("n2"), Incarnation(1), *parts.settings, parts.clock);
     SealedLedger ledger { NodeId("n1"), Incarnation(1), Time(5), Duration::seconds(60), {} };
     for (std::uint64_t i = 0; i < 3; ++i) {
--- a/tests/main/testoperators.cpp
+++ b/tests/main/testoperators.cpp
@@ -94,7 +94,7 @@
     // a node has died, a sum without it must not look like the whole.
     absl::Mutex mutex;
     std::string list = R"({"vms":[]})";
-    const Rig::Upstream platform([&](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) {
+    const Fixtures::Upstream platform([&](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) {
         const absl::MutexLock lock(&mutex);
         exchange->respond(200, {}, list);
     });
@@ -121,7 +121,7 @@
 Test(operators, burnOfAnOutageIsWhatArithmeticSays)
 {
     // For six minutes of an hour a plain service answers every fourth call with 500. Callers' own mistakes come in between.
-    const auto settings = Rig::Parts().settings;
+    const auto settings = Fixtures::NodeFixture().settings;
     ManualClock clock;
     ServiceLevels levels(objectivesOf(*settings));
     Metrics metrics;
@@ -151,7 +151,8 @@
     cr_assert_eq(showBurn({ "127.0.0.1:1", false, true, "x.html" }, out, faults), 2);
     cr_assert_eq(showStatus({ "127.0.0.1:1", true, false, {} }, out, faults), 1);
     cr_assert(faults.str().find("127.0.0.1:1 did not answer") != std::string::npos);
-    const Rig::Upstream other([](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) { exchange->respond(200, {}, "[]"); });
+    const Fixtures::Upstream other(
+        [](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) { exchange->respond(200, {}, "[]"); });
     cr_assert_eq(showBurn({ other.address(), false, false, {} }, out, faults), 1, "something else listens there");
     cr_assert_eq(showStatus({ other.address(), false, false, {} }, out, faults), 1);
     cr_assert_eq(showAddress(other.address(), "kitchen", false, out, faults), 1);
--- a/tests/main/testownership.cpp
+++ b/tests/main/testownership.cpp
@@ -100,9 +100,9 @@
     void routeToOther(CompletionJob) override
     {
     }
-    std::shared_ptr<Rig::Caller> send(std::uint64_t id, const std::string &adapter)
+    std::shared_ptr<Fixtures::Caller> send(std::uint64_t id, const std::string &adapter)
     {
-        const auto exchange = std::make_shared<Rig::Caller>();
+        const auto exchange = std::make_shared<Fixtures::Caller>();
         CompletionJob job;
         job.work.id = RequestId(id);
         job.work.adapter = { AdapterId(adapter), AdapterVersion("1") };
@@ -116,9 +116,9 @@
         return exchange;
     }
 
-    Rig::Parts parts;
+    Fixtures::NodeFixture parts;
     FencedEngine engine;
-    Rig::Upstream upstream;
+    Fixtures::Upstream upstream;
     Published<FleetView> fleet;
     OwnershipSource source { NodeId("n1"), fleet, [] { return true; }, [] { return std::uint16_t { 7 }; } };
     std::unique_ptr<EngineRunner> runner;
--- a/tests/main/testpermitrunner.cpp
+++ b/tests/main/testpermitrunner.cpp
@@ -115,7 +115,7 @@
     }
 
     int size;
-    Rig::Parts parts;
+    Fixtures::NodeFixture parts;
     ManualClock clock;
     Published<FleetView> fleet;
     Line line;
--- a/tests/main/testrequestforwarder.cpp
+++ b/tests/main/testrequestforwarder.cpp
@@ -1,5 +1,5 @@
+#include "fixtures.h"
 #include "main/entry/requestforwarder.h"
-#include "rig.h"
 #include "scriptedupstream.h"
 
 #include <absl/strings/ascii.h>
@@ -9,8 +9,8 @@
 #include <criterion/criterion.h>
 
 using namespace ApricotStep;
-using Rig::ScriptedAnswer;
-using Rig::ScriptedUpstream;
+using Fixtures::ScriptedAnswer;
+using Fixtures::ScriptedUpstream;
 
 namespace
 {
@@ -99,9 +99,9 @@
         request.body = method == "POST" ? "body" : "";
         return request;
     }
-    std::shared_ptr<Rig::Caller> send(HttpRequest httpRequest)
+    std::shared_ptr<Fixtures::Caller> send(HttpRequest httpRequest)
     {
-        auto caller = std::make_shared<Rig::Caller>();
+        auto caller = std::make_shared<Fixtures::Caller>();
         forwarder->onRequest(std::move(httpRequest), caller);
         return caller;
     }
@@ -294,7 +294,7 @@
     fixture.addUpstream("u1", upstream);
     const auto caller = fixture.send(ForwarderFixture::request());
     fixture.runUntil([&] { return !upstream.requests().empty(); });
-    caller->leave();
+    caller->disconnect();
     fixture.runUntil([&] { return upstream.closedByPeer() > 0; });
     cr_assert_eq(upstream.closedByPeer(), 1);
 }
--- a/tests/main/testretries.cpp
+++ b/tests/main/testretries.cpp
@@ -4,7 +4,7 @@
 
 #include <criterion/criterion.h>
 
-using namespace Rig;
+using namespace Fixtures;
 
 namespace
 {
@@ -65,7 +65,7 @@
 }
 
 // Two engines at most: the first, and another for what fails there.
-struct Engines : Parts, CompletionRouter
+struct Engines : NodeFixture, CompletionRouter
 {
     explicit Engines(const std::string &first, const std::string &second = {})
         : one(std::make_unique<EngineRunner>(spec("one", first), EngineParts { *settings, *client, clock, metrics, health, *this }))
@@ -122,7 +122,7 @@
 };
 
 // A plain service of some upstreams.
-struct Service : Parts
+struct Service : NodeFixture
 {
     explicit Service(const std::vector<std::string> &addresses)
         : runner(std::make_unique<ServiceRunner>(NodeId("n1"), Incarnation(1), *settings, *client, clock, metrics, health))
@@ -365,7 +365,7 @@
 
 Test(retries, anEngineThatKeepsFailingIsSkipped)
 {
-    Parts parts;
+    NodeFixture parts;
     parts.health.setUpstreams(ConfigVersion(1), { UpstreamId("one"), UpstreamId("other") });
     for (int i = 0; i < 5; ++i) {
         parts.health.onFailure(UpstreamId("one"));
