--- a/main/callerfrontend.cpp
+++ b/main/callerfrontend.cpp
@@ -50,7 +50,7 @@
     explicit Private(const FrontendParts &allParts)
         : parts(allParts)
         , placer(allParts.self, allParts.zone, allParts.clock, allParts.health, allParts.incarnation.value())
-        , log(partLog("caller"))
+        , log(componentLogger("caller"))
         , forwarder(allParts.peers, allParts.metrics)
     {
     }
--- a/main/configreader.cpp
+++ b/main/configreader.cpp
@@ -55,7 +55,7 @@
         , metrics(allMetrics)
         , catalog(catalogs)
         , fleet(fleets)
-        , log(partLog("config"))
+        , log(componentLogger("config"))
         , sync(syncSettings(settings))
     {
     }
--- a/main/enginerunner.cpp
+++ b/main/enginerunner.cpp
@@ -77,7 +77,7 @@
     Private(const UpstreamSpec &upstream, const EngineParts &allParts)
         : spec(upstream)
         , parts(allParts)
-        , log(partLog("engine"))
+        , log(componentLogger("engine"))
         , scheduler(schedulerLimits(upstream, allParts.settings, allParts.permits != nullptr))
         , limit({ std::max(1, upstream.batch / LeastBatchPart), upstream.batch, EngineTolerance })
     {
--- a/main/forwarder.cpp
+++ b/main/forwarder.cpp
@@ -34,10 +34,10 @@
         return;
     }
     const NodeView &target = job->targets[index];
-    partLog("forward")->debug("[{}] to={} hops={}", job->requestId, target.id.value(), job->hops + 1);
+    componentLogger("forward")->debug("[{}] to={} hops={}", job->requestId, target.id.value(), job->hops + 1);
     m_metrics.forward("tried");
     m_peers.forward(target.rpcAddress, job->request, job->hops + 1, job->exchange, [this, job, index](const Error &error) {
-        partLog("forward")->info("[{}] to={} failed='{}'", job->requestId, job->targets[index].id.value(), error.detail);
+        componentLogger("forward")->info("[{}] to={} failed='{}'", job->requestId, job->targets[index].id.value(), error.detail);
         tryNext(job, index + 1, error);
     });
 }
--- a/main/ledgerhandover.cpp
+++ b/main/ledgerhandover.cpp
@@ -25,7 +25,7 @@
     peers.tell(node.rpcAddress, LedgerPart, batch, [&](const Result<std::string> &answer) {
         isTaken = answer.isOk();
         if (!isTaken) {
-            partLog("ledger")->warn("{} did not take a batch. {}", node.id.value(), answer.error().detail);
+            componentLogger("ledger")->warn("{} did not take a batch. {}", node.id.value(), answer.error().detail);
         }
         done.Notify();
     });
--- a/main/log.cpp
+++ b/main/log.cpp
@@ -27,7 +27,7 @@
     spdlog::set_default_logger(main);
 }
 
-Logger partLog(const std::string &part)
+Logger componentLogger(const std::string &part)
 {
     return spdlog::default_logger()->clone(part);
 }
--- a/main/log.h
+++ b/main/log.h
@@ -14,6 +14,6 @@
 void startLog(const std::string &level, const std::string &format);
 
 /** The log of one part; each of its lines begins with "part: ". */
-Logger partLog(const std::string &part);
+Logger componentLogger(const std::string &part);
 
 } // namespace ApricotStep
--- a/main/membershiprunner.cpp
+++ b/main/membershiprunner.cpp
@@ -36,7 +36,7 @@
         , clock(aClock)
         , incarnation(start)
         , fleet(fleets)
-        , log(partLog("membership"))
+        , log(componentLogger("membership"))
     {
     }
 
--- a/main/node.cpp
+++ b/main/node.cpp
@@ -55,7 +55,7 @@
     Private(std::shared_ptr<const Settings> checked, std::unique_ptr<NodeRpc> nodeRpc)
         : settings(std::move(checked))
         , incarnation(newIncarnation(clock))
-        , log(partLog("node"))
+        , log(componentLogger("node"))
         , levels(objectivesOf(*settings))
         , client(std::make_unique<HttpClient>())
         , rpc(std::move(nodeRpc))
--- a/main/permitrunner.cpp
+++ b/main/permitrunner.cpp
@@ -196,7 +196,7 @@
         }
     }
     if (!answer.isOk()) {
-        partLog("permits")->debug("Node {} could not be told. {}", errand.to.value(), answer.error().detail);
+        componentLogger("permits")->debug("Node {} could not be told. {}", errand.to.value(), answer.error().detail);
         return;
     }
     const auto message = decodePermitMessage(answer.value());
--- a/main/platformreader.cpp
+++ b/main/platformreader.cpp
@@ -24,7 +24,7 @@
         , client(httpClient)
         , clock(aClock)
         , onVmList(std::move(vmListHandler))
-        , log(partLog("vmlist"))
+        , log(componentLogger("vmlist"))
     {
     }
 
--- a/main/servicerunner.cpp
+++ b/main/servicerunner.cpp
@@ -103,7 +103,7 @@
         , metrics(allMetrics)
         , health(upstreamHealth)
         , limits(static_cast<int>(allSettings.number("upstreams.service_concurrency")))
-        , log(partLog("service"))
+        , log(componentLogger("service"))
     {
     }
 
--- a/main/upstreamguard.cpp
+++ b/main/upstreamguard.cpp
@@ -48,7 +48,7 @@
         , clock(aClock)
         , source(ownershipSource)
         , listener(std::move(schedulerListener))
-        , log(partLog("ownership"))
+        , log(componentLogger("ownership"))
         , ownership(limitsOf(allSettings, upstream), std::random_device()())
     {
     }
--- a/main/upstreamhealth.cpp
+++ b/main/upstreamhealth.cpp
@@ -14,7 +14,7 @@
     Private(const Clock &aClock, Metrics &allMetrics, std::uint64_t seed)
         : clock(aClock)
         , metrics(allMetrics)
-        , log(partLog("health"))
+        , log(componentLogger("health"))
         , random(seed)
     {
     }
