--- a/main/callerfrontend.cpp
+++ b/main/callerfrontend.cpp
@@ -58,7 +58,7 @@
     FrontendParts parts;
     EnginePlacer placer;
     Logger log;
-    LogLimit logLimit;
+    LogRateLimiter logRateLimiter;
     Forwarder forwarder;
     std::atomic<std::uint64_t> counter { 1 };
     std::atomic<std::int64_t> lingerUntilMs { Time::never().milliseconds() };
@@ -102,9 +102,9 @@
     details.requestId = id;
     details.address = address;
     const std::string_view word = errorAnswer(error.kind).word;
-    if (const auto leftOut = logLimit.take(std::string(word), parts.clock.now())) {
+    if (const auto suppressedCount = logRateLimiter.admit(std::string(word), parts.clock.now())) {
         log->info("[{}] outcome={} detail='{}'{}", id, word, error.detail,
-            *leftOut == 0 ? std::string() : " left_out=" + std::to_string(*leftOut));
+            *suppressedCount == 0 ? std::string() : " left_out=" + std::to_string(*suppressedCount));
     }
     respondError(exchange, error.kind, details);
 }
--- a/main/loglimit.cpp
+++ b/main/loglimit.cpp
@@ -5,7 +5,7 @@
 namespace ApricotStep
 {
 
-std::optional<std::uint64_t> LogLimit::take(const std::string &sort, Time now)
+std::optional<std::uint64_t> LogRateLimiter::admit(const std::string &sort, Time now)
 {
     const absl::MutexLock lock(&m_mutex);
     Sort &state = m_sorts[sort];
@@ -14,11 +14,11 @@
         state.written = 0;
     }
     if (state.written >= LinesPerSecond) {
-        ++state.leftOut;
+        ++state.suppressedCount;
         return std::nullopt;
     }
     ++state.written;
-    return std::exchange(state.leftOut, 0);
+    return std::exchange(state.suppressedCount, 0);
 }
 
 } // namespace ApricotStep
--- a/main/loglimit.h
+++ b/main/loglimit.h
@@ -20,20 +20,20 @@
  * the log become what callers wait for, and the line that names the cause is lost among the repeats. Ten lines a second show a person that
  * and what repeats; the count of the lines left out keeps the sums right. Thread-safe.
  */
-class LogLimit
+class LogRateLimiter
 {
 public:
     static constexpr std::uint64_t LinesPerSecond = 10;
 
     /** Whether a line of @p sort may be written at @p now: the lines of that sort left out since the last one, or nothing. */
-    std::optional<std::uint64_t> take(const std::string &sort, Time now);
+    std::optional<std::uint64_t> admit(const std::string &sort, Time now);
 
 private:
     struct Sort
     {
         Time windowStart;
         std::uint64_t written = 0;
-        std::uint64_t leftOut = 0;
+        std::uint64_t suppressedCount = 0;
     };
     absl::Mutex m_mutex;
     absl::flat_hash_map<std::string, Sort> m_sorts ABSL_GUARDED_BY(m_mutex);
--- a/tests/main/testlog.cpp
+++ b/tests/main/testlog.cpp
@@ -35,16 +35,16 @@
 Test(log, repeatedLinesAreBoundedAndCounted)
 {
     // A node that is not ready yet refuses hundreds of requests a second; each wrote a line, and the cause was lost among them.
-    LogLimit limit;
+    LogRateLimiter limit;
     const Time start(5'000);
     std::uint64_t written = 0;
     for (int i = 0; i < 500; ++i) {
-        written += limit.take("not_ready", start + Duration(i)).has_value() ? 1 : 0;
+        written += limit.admit("not_ready", start + Duration(i)).has_value() ? 1 : 0;
     }
-    cr_assert_eq(written, LogLimit::LinesPerSecond);
-    cr_assert(limit.take("overloaded", start) == 0U, "another sort has its own bound");
-    const auto next = limit.take("not_ready", start + Duration(1000));
+    cr_assert_eq(written, LogRateLimiter::LinesPerSecond);
+    cr_assert(limit.admit("overloaded", start) == 0U, "another sort has its own bound");
+    const auto next = limit.admit("not_ready", start + Duration(1000));
     cr_assert(next.has_value());
     cr_assert_eq(*next + written, 500, "no line is lost from the count");
-    cr_assert(limit.take("not_ready", start + Duration(1001)) == 0U);
+    cr_assert(limit.admit("not_ready", start + Duration(1001)) == 0U);
 }
