--- a/main/callerfrontend.h
+++ b/main/callerfrontend.h
@@ -21,8 +21,8 @@
     const Clock &clock;
     HttpClient &client;
     Metrics &metrics;
-    Published<Catalog> &catalog;
-    Published<FleetView> &fleet;
+    SharedSnapshot<Catalog> &catalog;
+    SharedSnapshot<FleetView> &fleet;
     ServiceRunner &services;
     UpstreamHealth &health;
     Peers &peers;
--- a/main/configreader.cpp
+++ b/main/configreader.cpp
@@ -47,8 +47,8 @@
 
 struct ConfigReader::Private : std::enable_shared_from_this<Private>
 {
-    Private(const Settings &allSettings, HttpClient &httpClient, const Clock &aClock, Metrics &allMetrics, Published<Catalog> &catalogs,
-        const Published<FleetView> &fleets)
+    Private(const Settings &allSettings, HttpClient &httpClient, const Clock &aClock, Metrics &allMetrics,
+        SharedSnapshot<Catalog> &catalogs, const SharedSnapshot<FleetView> &fleets)
         : settings(allSettings)
         , client(httpClient)
         , clock(aClock)
@@ -64,8 +64,8 @@
     HttpClient &client;
     const Clock &clock;
     Metrics &metrics;
-    Published<Catalog> &catalog;
-    const Published<FleetView> &fleet;
+    SharedSnapshot<Catalog> &catalog;
+    const SharedSnapshot<FleetView> &fleet;
     Logger log;
     Peers *peers = nullptr;
     Announcer announce;
@@ -259,8 +259,8 @@
     status.problem = "version " + std::to_string(report.version.value()) + ", " + word + ": " + report.detail;
 }
 
-ConfigReader::ConfigReader(const Settings &settings, HttpClient &client, const Clock &clock, Metrics &metrics, Published<Catalog> &catalog,
-    const Published<FleetView> &fleet)
+ConfigReader::ConfigReader(const Settings &settings, HttpClient &client, const Clock &clock, Metrics &metrics,
+    SharedSnapshot<Catalog> &catalog, const SharedSnapshot<FleetView> &fleet)
     : d(std::make_shared<Private>(settings, client, clock, metrics, catalog, fleet))
 {
 }
--- a/main/configreader.h
+++ b/main/configreader.h
@@ -45,8 +45,8 @@
     using Announcer = std::function<void(const ConfigFact &)>;
 
     /** The references must outlive the reader and the client's calls. */
-    ConfigReader(const Settings &settings, HttpClient &client, const Clock &clock, Metrics &metrics, Published<Catalog> &catalog,
-        const Published<FleetView> &fleet);
+    ConfigReader(const Settings &settings, HttpClient &client, const Clock &clock, Metrics &metrics, SharedSnapshot<Catalog> &catalog,
+        const SharedSnapshot<FleetView> &fleet);
     ~ConfigReader();
 
     /** Lets the reader ask peers and tell them; without it the service alone is asked. Before start(); @p peers must outlive stop(). */
--- a/main/membershiprunner.cpp
+++ b/main/membershiprunner.cpp
@@ -31,7 +31,7 @@
 
 struct MembershipRunner::Private
 {
-    Private(const Settings &allSettings, const Clock &aClock, Incarnation start, Published<FleetView> &fleets)
+    Private(const Settings &allSettings, const Clock &aClock, Incarnation start, SharedSnapshot<FleetView> &fleets)
         : settings(allSettings)
         , clock(aClock)
         , incarnation(start)
@@ -43,7 +43,7 @@
     const Settings &settings;
     const Clock &clock;
     const Incarnation incarnation;
-    Published<FleetView> &fleet;
+    SharedSnapshot<FleetView> &fleet;
     Logger log;
     std::unique_ptr<UdpSocket> socket;
     std::vector<RumourHandler> handlers;
@@ -124,7 +124,7 @@
 MembershipRunner::MembershipRunner() = default;
 
 Result<std::unique_ptr<MembershipRunner>> MembershipRunner::open(
-    const Settings &settings, const Clock &clock, Incarnation incarnation, Published<FleetView> &fleet)
+    const Settings &settings, const Clock &clock, Incarnation incarnation, SharedSnapshot<FleetView> &fleet)
 {
     std::unique_ptr<MembershipRunner> runner(new MembershipRunner);
     runner->d = std::make_unique<Private>(settings, clock, incarnation, fleet);
--- a/main/membershiprunner.h
+++ b/main/membershiprunner.h
@@ -31,7 +31,7 @@
 
     /** Opens the membership port. The references must outlive the runner. Errors: SettingsInvalid. */
     static Result<std::unique_ptr<MembershipRunner>> open(
-        const Settings &settings, const Clock &clock, Incarnation incarnation, Published<FleetView> &fleet);
+        const Settings &settings, const Clock &clock, Incarnation incarnation, SharedSnapshot<FleetView> &fleet);
     ~MembershipRunner();
 
     std::uint16_t port() const;
--- a/main/node.cpp
+++ b/main/node.cpp
@@ -92,8 +92,8 @@
     Logger log;
     ServiceLevels levels;
     Metrics metrics;
-    Published<Catalog> catalog;
-    Published<FleetView> fleet;
+    SharedSnapshot<Catalog> catalog;
+    SharedSnapshot<FleetView> fleet;
     std::unique_ptr<MembershipRunner> membership;
     OwnershipSource ownership { NodeId(settings->text("node.id")), fleet, [this] { return membership->isFresh(); },
         [this] { return membership->number(); } };
--- a/main/operatorport.h
+++ b/main/operatorport.h
@@ -31,8 +31,8 @@
     Incarnation incarnation;
     const Metrics &metrics;
     const ServiceLevels &levels;
-    const Published<Catalog> &catalog;
-    const Published<FleetView> &fleet;
+    const SharedSnapshot<Catalog> &catalog;
+    const SharedSnapshot<FleetView> &fleet;
     const CallerFrontend &frontend;
     ServiceRunner &services;
     const ConfigReader &config;
--- a/main/permitrunner.cpp
+++ b/main/permitrunner.cpp
@@ -47,7 +47,7 @@
 
 struct PermitRunner::Private : std::enable_shared_from_this<Private>
 {
-    Private(NodeId aSelf, const Settings &settings, const Clock &aClock, Published<FleetView> &fleets, Peers &allPeers)
+    Private(NodeId aSelf, const Settings &settings, const Clock &aClock, SharedSnapshot<FleetView> &fleets, Peers &allPeers)
         : self(std::move(aSelf))
         , clock(aClock)
         , fleet(fleets)
@@ -59,7 +59,7 @@
 
     const NodeId self;
     const Clock &clock;
-    Published<FleetView> &fleet;
+    SharedSnapshot<FleetView> &fleet;
     Peers &peers;
     Handler handler;
     absl::Mutex mutex;
@@ -212,7 +212,7 @@
     }
 }
 
-PermitRunner::PermitRunner(const NodeId &self, const Settings &settings, const Clock &clock, Published<FleetView> &fleet, Peers &peers)
+PermitRunner::PermitRunner(const NodeId &self, const Settings &settings, const Clock &clock, SharedSnapshot<FleetView> &fleet, Peers &peers)
     : d(std::make_shared<Private>(self, settings, clock, fleet, peers))
 {
 }
--- a/main/permitrunner.h
+++ b/main/permitrunner.h
@@ -31,7 +31,7 @@
     using Handler = std::function<void(const UpstreamId &, const SchedulerEvent &)>;
 
     /** The references must outlive the runner, @p peers only until stop(). */
-    PermitRunner(const NodeId &self, const Settings &settings, const Clock &clock, Published<FleetView> &fleet, Peers &peers);
+    PermitRunner(const NodeId &self, const Settings &settings, const Clock &clock, SharedSnapshot<FleetView> &fleet, Peers &peers);
     ~PermitRunner();
 
     /** Only before the first requestPermit(). */
--- a/main/upstreamguard.h
+++ b/main/upstreamguard.h
@@ -20,7 +20,7 @@
 struct OwnershipSource
 {
     NodeId self;
-    Published<FleetView> &fleet;
+    SharedSnapshot<FleetView> &fleet;
     /** Whether the view may be relied on at this moment. */
     std::function<bool()> isFresh;
     /** Low bits of this node's fencing tokens. */
--- a/state/published.h
+++ b/state/published.h
@@ -11,7 +11,7 @@
 
 /** An immutable value that one thread replaces and many read; a reader keeps what it got for as long as it likes. */
 template<typename T>
-class Published
+class SharedSnapshot
 {
 public:
     /** The newest value; null before the first set(). */
--- a/tests/main/testcallerfrontend.cpp
+++ b/tests/main/testcallerfrontend.cpp
@@ -67,8 +67,8 @@
     ManualClock clock;
     HttpClient client;
     Metrics metrics;
-    Published<Catalog> catalog;
-    Published<FleetView> fleet;
+    SharedSnapshot<Catalog> catalog;
+    SharedSnapshot<FleetView> fleet;
     UpstreamHealth health { clock, metrics, 1 };
     ServiceRunner services { NodeId("n1"), Incarnation(1), *settings, client, clock, metrics, health };
     RecordingPeers peers;
--- a/tests/main/testownership.cpp
+++ b/tests/main/testownership.cpp
@@ -119,7 +119,7 @@
     Fixtures::NodeFixture parts;
     FencedEngine engine;
     Fixtures::Upstream upstream;
-    Published<FleetView> fleet;
+    SharedSnapshot<FleetView> fleet;
     OwnershipSource source { NodeId("n1"), fleet, [] { return true; }, [] { return std::uint16_t { 7 }; } };
     std::unique_ptr<EngineRunner> runner;
 };
--- a/tests/main/testpermitrunner.cpp
+++ b/tests/main/testpermitrunner.cpp
@@ -117,7 +117,7 @@
     int size;
     Fixtures::NodeFixture parts;
     ManualClock clock;
-    Published<FleetView> fleet;
+    SharedSnapshot<FleetView> fleet;
     Line line;
     std::deque<Letter> post;
     bool isCut = false;
