--- a/core/errors.cpp
+++ b/core/errors.cpp
@@ -81,7 +81,7 @@
     }
     std::string message(int value) const override
     {
-        return std::string(errorAnswer(static_cast<ErrorKind>(value)).sentence);
+        return std::string(errorAnswer(static_cast<ErrorKind>(value)).description);
     }
 };
 
@@ -103,7 +103,7 @@
     return Answers.data() + Answers.size();
 }
 
-std::string_view retryAdviceWord(RetryAdvice advice)
+std::string_view retryAdviceName(RetryAdvice advice)
 {
     switch (advice) {
     case RetryAdvice::Never:
--- a/core/errors.h
+++ b/core/errors.h
@@ -67,11 +67,11 @@
     /** HTTP status, 400 to 599. */
     int httpStatus;
     /** The word that programs match on; never changes once released. */
-    std::string_view word;
+    std::string_view code;
     RunState runState;
     RetryAdvice retry;
     /** One sentence for a person. */
-    std::string_view sentence;
+    std::string_view description;
 };
 
 /** The row of the closed table for @p kind; defined for every kind. */
@@ -82,7 +82,7 @@
 const ErrorAnswer *errorAnswersEnd();
 
 /** The word for @p advice as it stands in an answer's body. */
-std::string_view retryAdviceWord(RetryAdvice advice);
+std::string_view retryAdviceName(RetryAdvice advice);
 
 const std::error_category &errorCategory();
 std::error_code make_error_code(ErrorKind kind);
--- a/main/burnreport.cpp
+++ b/main/burnreport.cpp
@@ -173,7 +173,7 @@
 {
     Json classes = Json::object();
     for (std::size_t i = 0; i < ServiceClassCount; ++i) {
-        classes[std::string(ServiceClassWords[i])] = classJson(report.classes[i]);
+        classes[std::string(ServiceClassNames[i])] = classJson(report.classes[i]);
     }
     return Json {
         { "deployment", report.deployment }, { "nodes", report.nodes }, { "missing", report.missing }, { "classes", classes }
@@ -189,7 +189,7 @@
         report.nodes = json.at("nodes").get<std::vector<std::string>>();
         report.missing = json.at("missing").get<std::vector<std::string>>();
         for (std::size_t i = 0; i < ServiceClassCount; ++i) {
-            report.classes[i] = classFrom(json.at("classes").at(std::string(ServiceClassWords[i])));
+            report.classes[i] = classFrom(json.at("classes").at(std::string(ServiceClassNames[i])));
         }
         return report;
     } catch (const Json::exception &exception) {
@@ -206,7 +206,7 @@
     for (std::size_t i = 0; i < ServiceClassCount; ++i) {
         const BurnClass &burnClass = report.classes[i];
         const EventCounts all = burnClass.window(SixHours);
-        text += fmt::format("{:<9} {:>8.4f} {:>9} {:>10} {:>8} {:>8.2f} {:>8.2f} {:>8.2f} {:>8.2f} {:>11.1f}% {}\n", ServiceClassWords[i],
+        text += fmt::format("{:<9} {:>8.4f} {:>9} {:>10} {:>8} {:>8.2f} {:>8.2f} {:>8.2f} {:>8.2f} {:>11.1f}% {}\n", ServiceClassNames[i],
             burnClass.objective.target, burnClass.objective.limit.milliseconds(), all.total(), all.bad, burnClass.burn(FiveMinutes),
             burnClass.burn(HalfHour), burnClass.burn(OneHour), burnClass.burn(SixHours), burnClass.budgetLeft() * 100,
             alertWord(alertOf(burnClass)));
@@ -230,7 +230,7 @@
             "<h2>{}</h2><table><tr><th>target</th><th>limit ms</th><th>events 6 h</th><th>bad</th><th>5 min</th><th>30 min</th>"
             "<th>1 h</th><th>6 h</th><th>budget left</th><th>alert</th></tr><tr><td>{:.4f}</td><td>{}</td><td>{}</td><td>{}</td>"
             "<td>{:.2f}</td><td>{:.2f}</td><td>{:.2f}</td><td>{:.2f}</td><td>{:.1f} %</td><td class=\"{}\">{}</td></tr></table>",
-            ServiceClassWords[i], burnClass.objective.target, burnClass.objective.limit.milliseconds(), all.total(), all.bad,
+            ServiceClassNames[i], burnClass.objective.target, burnClass.objective.limit.milliseconds(), all.total(), all.bad,
             burnClass.burn(FiveMinutes), burnClass.burn(HalfHour), burnClass.burn(OneHour), burnClass.burn(SixHours),
             burnClass.budgetLeft() * 100, alert, alert);
         page += plotSvg(burnClass);
--- a/main/callerfrontend.cpp
+++ b/main/callerfrontend.cpp
@@ -101,9 +101,9 @@
     details.detail = error.detail;
     details.requestId = id;
     details.address = address;
-    const std::string_view word = errorAnswer(error.kind).word;
-    if (const auto suppressedCount = logRateLimiter.admit(std::string(word), parts.clock.now())) {
-        log->info("[{}] outcome={} detail='{}'{}", id, word, error.detail,
+    const std::string_view code = errorAnswer(error.kind).code;
+    if (const auto suppressedCount = logRateLimiter.admit(std::string(code), parts.clock.now())) {
+        log->info("[{}] outcome={} detail='{}'{}", id, code, error.detail,
             *suppressedCount == 0 ? std::string() : " left_out=" + std::to_string(*suppressedCount));
     }
     respondError(exchange, error.kind, details);
--- a/main/enginerunner.cpp
+++ b/main/enginerunner.cpp
@@ -520,7 +520,7 @@
     details.requestId = job->what.requestId;
     parts.metrics.completionFailed(work.priority, kind);
     log->info("[{}] caller={} adapter={} upstream={} outcome={} detail='{}' attempts={} ms={}", job->what.requestId, work.caller.value(),
-        work.adapter.name(), spec.id.value(), errorAnswer(kind).word, detail, job->what.attempts + 1,
+        work.adapter.name(), spec.id.value(), errorAnswer(kind).code, detail, job->what.attempts + 1,
         (parts.clock.now() - work.arrival).milliseconds());
     if (job->reply.hasSentToCaller()) {
         job->reply.breakOff(job->what.requestId, detail);
--- a/main/entry/requestforwarder.cpp
+++ b/main/entry/requestforwarder.cpp
@@ -143,7 +143,7 @@
     const Duration retryAfter = answer.retry != RetryAdvice::Never ? RetryAfterNotReady : Duration(0);
     ApricotStep::refuse(exchange, kind, { retryAfter, m_callbacks.isLeaving() });
     m_log.write(EventLog::Severity::Important, "request", "refused",
-        { { "request", id }, { "reason", std::string(answer.word) }, { "detail", detail } });
+        { { "request", id }, { "reason", std::string(answer.code) }, { "detail", detail } });
 }
 
 RequestForwarder::RequestForwarder(IoLoop &loop, EventLog &log, EntryMetrics &metrics, ClusterState &clusterState,
--- a/main/entry/requestjob.cpp
+++ b/main/entry/requestjob.cpp
@@ -619,7 +619,7 @@
 void RequestJob::refuse(ErrorKind kind, Duration retryAfter)
 {
     if (m_isStreaming) {
-        abortStream(std::string(errorAnswer(kind).word));
+        abortStream(std::string(errorAnswer(kind).code));
         return;
     }
     // Never report a request as not run if an upstream may have begun it, or the caller would run it a second time.
@@ -627,7 +627,7 @@
     const ErrorKind reportedKind = wouldClaimNotRun ? ErrorKind::UpstreamFailed : kind;
     const bool isNotRun = errorAnswer(reportedKind).runState == RunState::NotRun;
     ApricotStep::refuse(*m_exchange, reportedKind, { isNotRun ? retryAfter : Duration(0), m_context.callbacks().isLeaving() });
-    end(isNotRun ? RequestOutcome::Refused : RequestOutcome::Failed, std::string(errorAnswer(reportedKind).word));
+    end(isNotRun ? RequestOutcome::Refused : RequestOutcome::Failed, std::string(errorAnswer(reportedKind).code));
 }
 
 void RequestJob::abortStream(const std::string &reason)
--- a/main/errorspage.cpp
+++ b/main/errorspage.cpp
@@ -20,9 +20,9 @@
         "  the answer to `/v1/address`, or `address`); `same_key` (the same request with `idempotency_key`).\n\n"
         "| code | HTTP status | not_run | retry | meaning |\n|---|---|---|---|---|\n";
     for (const ErrorAnswer *row = errorAnswersBegin(); row != errorAnswersEnd(); ++row) {
-        page += "| `" + std::string(row->word) + "` | " + std::to_string(row->httpStatus) + " | "
-            + (row->runState == RunState::NotRun ? "true" : "false") + " | `" + std::string(retryAdviceWord(row->retry)) + "` | "
-            + std::string(row->sentence) + " |\n";
+        page += "| `" + std::string(row->code) + "` | " + std::to_string(row->httpStatus) + " | "
+            + (row->runState == RunState::NotRun ? "true" : "false") + " | `" + std::string(retryAdviceName(row->retry)) + "` | "
+            + std::string(row->description) + " |\n";
     }
     return page;
 }
--- a/main/metrics.cpp
+++ b/main/metrics.cpp
@@ -121,7 +121,7 @@
 
 void Metrics::completionFailed(Priority priority, ErrorKind kind)
 {
-    d->completions.Add({ { "class", wordOf(priority) }, { "outcome", std::string(errorAnswer(kind).word) } }).Increment();
+    d->completions.Add({ { "class", wordOf(priority) }, { "outcome", std::string(errorAnswer(kind).code) } }).Increment();
     d->failed(classOf(priority), kind);
 }
 
--- a/main/servicerunner.cpp
+++ b/main/servicerunner.cpp
@@ -366,7 +366,7 @@
     const ServiceJob &job = running->job;
     const auto waiters = running->hasKey ? oneTimeRequests.fail(running->key) : std::vector<OneTimeWaiter>();
     metrics.serviceFailed(job.service.value(), kind);
-    log->info("[{}] service={} outcome={} detail='{}' attempts={}", job.requestId, job.service.value(), errorAnswer(kind).word, detail,
+    log->info("[{}] service={} outcome={} detail='{}' attempts={}", job.requestId, job.service.value(), errorAnswer(kind).code, detail,
         running->attempts);
     --active;
     refuse(*job.exchange, kind, job.requestId, detail);
--- a/protocol/callerapi.cpp
+++ b/protocol/callerapi.cpp
@@ -96,11 +96,11 @@
 {
     const ErrorAnswer &answer = errorAnswer(kind);
     Json error;
-    error["message"] = std::string(answer.sentence) + (details.detail.empty() ? "" : " " + details.detail);
+    error["message"] = std::string(answer.description) + (details.detail.empty() ? "" : " " + details.detail);
     error["type"] = answer.httpStatus < 500 ? "invalid_request_error" : "server_error";
-    error["code"] = answer.word;
+    error["code"] = answer.code;
     error["not_run"] = answer.runState == RunState::NotRun;
-    error["retry"] = retryAdviceWord(answer.retry);
+    error["retry"] = retryAdviceName(answer.retry);
     if (details.retryAfter > Duration(0)) {
         error["retry_after_ms"] = details.retryAfter.milliseconds();
     }
@@ -135,9 +135,9 @@
         { { "object", "list" }, { "data", list }, { "total", catalog.adapterCount() }, { "config_version", catalog.version().value() } });
 }
 
-Result<Priority> parsePriority(std::string_view word)
+Result<Priority> parsePriority(std::string_view code)
 {
-    const auto at = std::find(PriorityNames.begin(), PriorityNames.end(), word);
+    const auto at = std::find(PriorityNames.begin(), PriorityNames.end(), code);
     if (at == PriorityNames.end()) {
         return bad("the priority must be urgent, standard or patient");
     }
--- a/state/servicelevel.h
+++ b/state/servicelevel.h
@@ -20,7 +20,7 @@
     Service,
 };
 inline constexpr std::size_t ServiceClassCount = 4;
-inline constexpr std::array<std::string_view, ServiceClassCount> ServiceClassWords { "urgent", "standard", "patient", "service" };
+inline constexpr std::array<std::string_view, ServiceClassCount> ServiceClassNames { "urgent", "standard", "patient", "service" };
 
 /** Events of one minute or of a window. */
 struct EventCounts
--- a/tests/core/testerrors.cpp
+++ b/tests/core/testerrors.cpp
@@ -13,7 +13,7 @@
     int expected = 1;
     for (const ErrorAnswer *row = errorAnswersBegin(); row != errorAnswersEnd(); ++row) {
         cr_assert_eq(static_cast<int>(row->kind), expected, "row %d stands in another's place", expected);
-        cr_assert(words.insert(row->word).second, "a word is used twice");
+        cr_assert(words.insert(row->code).second, "a word is used twice");
         cr_assert(row->httpStatus >= 400 && row->httpStatus <= 599);
         cr_assert_eq(&errorAnswer(row->kind), row);
         ++expected;
