--- a/main/catalogini.cpp
+++ b/main/catalogini.cpp
@@ -172,7 +172,7 @@
         spec.labels.push_back({ label.substr(0, split), label.substr(split + 1) });
     }
     std::sort(spec.labels.begin(), spec.labels.end());
-    const std::string fault = adapterFault(spec);
+    const std::string fault = adapterSpecError(spec);
     if (!fault.empty()) {
         m_document.addFault(pair.line, fault);
         return;
@@ -241,7 +241,7 @@
                 "[upstream " + spec.id.value() + "] stands in line " + std::to_string(known->second) + " already; remove one");
             continue;
         }
-        const std::string fault = upstreamFault(spec);
+        const std::string fault = upstreamSpecError(spec);
         if (!fault.empty()) {
             m_document.addFault(m_upstreamLines[i], fault);
         }
--- a/state/catalog.cpp
+++ b/state/catalog.cpp
@@ -96,7 +96,7 @@
 
 } // namespace
 
-std::string adapterFault(const AdapterSpec &spec)
+std::string adapterSpecError(const AdapterSpec &spec)
 {
     if (!isWord(spec.key.id.value()) || !isWord(spec.key.version.value())) {
         return "adapter '" + spec.key.name() + "': id and version must be words without '@', '=', ',' or blanks";
@@ -118,7 +118,7 @@
     return {};
 }
 
-std::string upstreamFault(const UpstreamSpec &spec)
+std::string upstreamSpecError(const UpstreamSpec &spec)
 {
     if (!isWord(spec.id.value())) {
         return "upstream '" + spec.id.value() + "': the id must be a word";
@@ -151,7 +151,7 @@
     upstreamIndex.clear();
     serviceIndex.clear();
     for (std::uint32_t i = 0; i < upstreams.size(); ++i) {
-        std::string fault = upstreamFault(upstreams[i]);
+        std::string fault = upstreamSpecError(upstreams[i]);
         if (!fault.empty()) {
             return fault;
         }
@@ -225,7 +225,7 @@
     ids.reserve(adapters.size());
     for (std::uint32_t i = 0; i < adapters.size(); ++i) {
         const AdapterSpec &spec = adapters[i];
-        std::string fault = adapterFault(spec);
+        std::string fault = adapterSpecError(spec);
         if (!fault.empty()) {
             return fault;
         }
@@ -280,7 +280,7 @@
         records.remove(*number);
     }
     for (const AdapterSpec &spec : delta.adapters) {
-        std::string fault = adapterFault(spec);
+        std::string fault = adapterSpecError(spec);
         if (!fault.empty()) {
             return fault;
         }
--- a/state/catalog.h
+++ b/state/catalog.h
@@ -72,8 +72,8 @@
 };
 
 /** What is wrong with @p spec by itself; empty when it is good. */
-std::string adapterFault(const AdapterSpec &spec);
-std::string upstreamFault(const UpstreamSpec &spec);
+std::string adapterSpecError(const AdapterSpec &spec);
+std::string upstreamSpecError(const UpstreamSpec &spec);
 
 /** Everything one configuration version says. */
 struct CatalogContent
