--- a/state/servicelevel.cpp
+++ b/state/servicelevel.cpp
@@ -57,7 +57,7 @@
     return static_cast<double>(counts.bad) / static_cast<double>(counts.total()) / (1.0 - objective.target);
 }
 
-bool spendsBudget(ErrorKind kind)
+bool spendsErrorBudget(ErrorKind kind)
 {
     switch (kind) {
     case ErrorKind::BadRequest:
@@ -101,7 +101,7 @@
 
 void ServiceLevels::failed(ServiceClass serviceClass, ErrorKind kind, Time now)
 {
-    if (spendsBudget(kind)) {
+    if (spendsErrorBudget(kind)) {
         d->add(serviceClass, false, now);
     }
 }
--- a/state/servicelevel.h
+++ b/state/servicelevel.h
@@ -50,7 +50,7 @@
 double burnRate(const EventCounts &counts, const Objective &objective);
 
 /** Whether a failure of @p kind spends the error budget: those that a caller brought about itself do not. */
-bool spendsBudget(ErrorKind kind);
+bool spendsErrorBudget(ErrorKind kind);
 
 /**
  * Counts of good and bad events by class and minute over the last six hours, kept in memory: about 35 KB. Thread-safe; each class has a
@@ -69,7 +69,7 @@
     const Objective &objective(ServiceClass serviceClass) const;
     /** An event was answered after @p took; it is bad when that is over the limit. */
     void answered(ServiceClass serviceClass, Duration took, Time now);
-    /** An event failed; it counts only when spendsBudget(). */
+    /** An event failed; it counts only when spendsErrorBudget(). */
     void failed(ServiceClass serviceClass, ErrorKind kind, Time now);
     /** The events of the last @p minutes, 1 to MinuteCount, the current one included. */
     EventCounts window(ServiceClass serviceClass, std::size_t minutes, Time now) const;
