--- a/coordination/adapterplan.cpp
+++ b/coordination/adapterplan.cpp
@@ -505,7 +505,7 @@
     }
     engine = Engine {};
     engine.reportPolledAt = now - limits.reportInterval;
-    for (const HeldModel &held : planned.record->models) {
+    for (const LoadedModel &held : planned.record->models) {
         engine.models.push_back(held.id);
         for (const AdapterKey &key : held.adapters) {
             engine.copies[AdapterRef { held.id, key.id }] = Copy { key.version, CopyState::Ready, now, Time::never(), now, false };
@@ -525,7 +525,7 @@
 {
     engine.hasReport = true;
     engine.models.clear();
-    for (const HeldModel &held : planned.record->models) {
+    for (const LoadedModel &held : planned.record->models) {
         engine.models.push_back(held.id);
     }
     const EngineResidency *residency = residencies.residency(*planned.record);
@@ -674,7 +674,7 @@
 void AdapterPlan::Private::updateModels(Engine &engine, const EngineReport &report, Time polledAt) const
 {
     engine.models.clear();
-    for (const HeldModel &model : report.models) {
+    for (const LoadedModel &model : report.models) {
         engine.models.push_back(model.id);
         engine.loadingModels.erase(model.id);
     }
@@ -685,7 +685,7 @@
 void AdapterPlan::Private::updateCopies(Engine &engine, const EngineReport &report, Time polledAt) const
 {
     std::map<AdapterRef, AdapterCopy> reported;
-    for (const HeldModel &model : report.models) {
+    for (const LoadedModel &model : report.models) {
         for (const AdapterKey &key : model.adapters) {
             reported[AdapterRef { model.id, key.id }] = AdapterCopy { model.id, key.id, key.version, true };
         }
--- a/coordination/engineorder.h
+++ b/coordination/engineorder.h
@@ -46,7 +46,7 @@
 /** What an engine reports of itself; some hundred milliseconds old. */
 struct EngineReport
 {
-    std::vector<HeldModel> models;
+    std::vector<LoadedModel> models;
     /** Adapters being loaded. */
     std::vector<AdapterKey> loading;
     int waiting = 0;
--- a/coordination/residencytable.cpp
+++ b/coordination/residencytable.cpp
@@ -59,7 +59,7 @@
         }
         return std::nullopt;
     }
-    for (const HeldModel &held : record.models) {
+    for (const LoadedModel &held : record.models) {
         for (const AdapterKey &key : held.adapters) {
             if (held.id == adapter.model && key.id == adapter.adapter) {
                 return AdapterCopy { adapter.model, adapter.adapter, key.version, true };
--- a/state/upstreamrecord.h
+++ b/state/upstreamrecord.h
@@ -12,13 +12,13 @@
 {
 
 /** A base model that an engine holds, with the adapters that it holds for it. */
-struct HeldModel
+struct LoadedModel
 {
     BaseModelId id;
     /** Adapters by name, each with the version that is in place; the version is empty where the engine names none. */
     std::vector<AdapterKey> adapters;
 
-    bool operator==(const HeldModel &) const = default;
+    bool operator==(const LoadedModel &) const = default;
 };
 
 /** What one start of an upstream says of itself. */
@@ -36,13 +36,13 @@
     /** When this start began, Unix ms by its own clock. Tells two starts under one id apart; never orders them. */
     std::int64_t startedAt = 0;
     /** Base models in place; empty for a plain service. */
-    std::vector<HeldModel> models;
+    std::vector<LoadedModel> models;
 
     bool operator==(const UpstreamRecord &) const = default;
 
     bool holds(const BaseModelId &model) const
     {
-        for (const HeldModel &held : models) {
+        for (const LoadedModel &held : models) {
             if (held.id == model) {
                 return true;
             }
--- a/tests/coordination/testadapterplan.cpp
+++ b/tests/coordination/testadapterplan.cpp
@@ -27,7 +27,7 @@
             UpstreamRecord record;
             record.id = UpstreamId("e" + std::to_string(i));
             record.startedAt = 1;
-            record.models = { HeldModel { BaseModelId("m"), {} } };
+            record.models = { LoadedModel { BaseModelId("m"), {} } };
             m_records.push_back(record);
         }
         m_engines.resize(static_cast<std::size_t>(engines));
--- a/tests/coordination/weightstoresimulation.h
+++ b/tests/coordination/weightstoresimulation.h
@@ -21,7 +21,7 @@
 EngineReport reportOfEngine(const Engine &engine)
 {
     EngineReport report;
-    HeldModel held { BaseModelId("m"), {} };
+    LoadedModel held { BaseModelId("m"), {} };
     for (const std::string &name : engine.held) {
         held.adapters.push_back(AdapterKey { AdapterId(name), AdapterVersion("1") });
     }
@@ -66,7 +66,7 @@
         for (std::size_t i = 0; i < m_records.size(); ++i) {
             m_records[i].id = UpstreamId("e" + std::to_string(i));
             m_records[i].startedAt = 1;
-            m_records[i].models = { HeldModel { BaseModelId("m"), {} } };
+            m_records[i].models = { LoadedModel { BaseModelId("m"), {} } };
         }
         for (int i = 0; i < parameters.plans; ++i) {
             m_nodes.push_back(std::make_unique<Node>());
