--- a/main/entry/requestjob.cpp
+++ b/main/entry/requestjob.cpp
@@ -94,8 +94,8 @@
     if (m_route.kind != RequestKind::Stream || m_isStreaming) {
         return timeLeft();
     }
-    const Duration firstByteTimeout = std::max(
-        { MinFirstByteTimeout, m_route.latencyObjective * FirstByteTimeoutInObjectives, m_route.pauseLimit * FirstByteTimeoutInPauses });
+    const Duration firstByteTimeout = std::max({ MinFirstByteTimeout, m_route.latencyObjective * FirstByteTimeoutInObjectives,
+        m_route.eventGapObjective * FirstByteTimeoutInPauses });
     return std::min(timeLeft(), m_arrivedAt + firstByteTimeout - now());
 }
 
--- a/state/routetable.h
+++ b/state/routetable.h
@@ -50,7 +50,7 @@
     /** A stream that broke off may go on at another upstream. */
     bool isResumable = false;
     /** Longest pause between two events of a stream that counts as on time; zero where none is set. */
-    Duration pauseLimit;
+    Duration eventGapObjective;
     /** At least one. */
     std::vector<RouteTarget> targets;
 };
@@ -74,7 +74,7 @@
     /** Places for adapters, those that are being loaded included. */
     int adapterSlots = 0;
     /** Tokens of prompts and answers that fit in memory. */
-    double memoryTokens = 0;
+    double kvCacheTokens = 0;
     /** Loads of base models that the weight store bears, over all engines. */
     double loadsPerSecond = 0;
 };
--- a/tests/platform/testrecords.cpp
+++ b/tests/platform/testrecords.cpp
@@ -73,7 +73,7 @@
     cr_assert(source.isOk(), "%s", source.isOk() ? "" : source.error().detail.c_str());
     const Route &stream = source.value().routes[0];
     cr_assert(stream.kind == RequestKind::Stream && stream.isResumable && stream.maxAttempts == 2);
-    cr_assert(stream.pauseLimit == Duration(250) && stream.latencyObjective == Duration(600));
+    cr_assert(stream.eventGapObjective == Duration(250) && stream.latencyObjective == Duration(600));
     const Route &split = source.value().routes[1];
     cr_assert_eq(split.targets.size(), 2);
     cr_assert_eq(split.targets[0].weight, 3);
