--- a/main/entry/requestjob.cpp
+++ b/main/entry/requestjob.cpp
@@ -74,7 +74,7 @@
 {
     const Duration requested = m_decoded.deadline.value_or(m_route.timeout);
     m_deadline = m_arrivedAt + std::min(requested, m_route.timeout);
-    m_service = drawTarget(m_route, std::uniform_real_distribution<double>(0, 1)(context.random())).service;
+    m_service = selectTarget(m_route, std::uniform_real_distribution<double>(0, 1)(context.random())).service;
 }
 
 Time RequestJob::now() const
--- a/state/routetable.cpp
+++ b/state/routetable.cpp
@@ -96,7 +96,7 @@
     return at == m_source.services.end() ? nullptr : &*at;
 }
 
-const RouteTarget &drawTarget(const Route &route, double draw)
+const RouteTarget &selectTarget(const Route &route, double draw)
 {
     const auto add = [](double sum, const RouteTarget &target) { return sum + target.weight; };
     double left = draw * std::accumulate(route.targets.begin(), route.targets.end(), 0.0, add);
--- a/state/routetable.h
+++ b/state/routetable.h
@@ -138,6 +138,6 @@
 };
 
 /** The target that @p draw, 0 to 1, falls on; the same draw always gives the same one. */
-const RouteTarget &drawTarget(const Route &route, double draw);
+const RouteTarget &selectTarget(const Route &route, double draw);
 
 } // namespace ApricotStep
--- a/tests/state/testroutetable.cpp
+++ b/tests/state/testroutetable.cpp
@@ -58,8 +58,8 @@
 {
     Route split = route("/s/");
     split.targets = { RouteTarget { ServiceName("a"), 1 }, RouteTarget { ServiceName("b"), 3 } };
-    cr_assert(drawTarget(split, 0.0).service == ServiceName("a"));
-    cr_assert(drawTarget(split, 0.24).service == ServiceName("a"));
-    cr_assert(drawTarget(split, 0.26).service == ServiceName("b"));
-    cr_assert(drawTarget(split, 1.0).service == ServiceName("b"));
+    cr_assert(selectTarget(split, 0.0).service == ServiceName("a"));
+    cr_assert(selectTarget(split, 0.24).service == ServiceName("a"));
+    cr_assert(selectTarget(split, 0.26).service == ServiceName("b"));
+    cr_assert(selectTarget(split, 1.0).service == ServiceName("b"));
 }
