--- a/main/configreader.cpp
+++ b/main/configreader.cpp
@@ -192,7 +192,8 @@
 
 void ConfigReader::Private::askPeer(const FetchValue &fetch, const std::string &address)
 {
-    const std::string name = std::string(ConfigValuePrefix) + (fetch.kind == ConfigValueKind::Head ? std::string(HeadName) : fetch.hash);
+    const std::string name =
+        std::string(ConfigValuePrefix) + (fetch.kind == ConfigValueKind::Head ? std::string(ConfigHeadName) : fetch.hash);
     peers->fetch(address, name, [self = shared_from_this(), fetch](Result<std::string> text) {
         self->arrived(FetchedText { fetch, std::move(text) });
     });
@@ -200,7 +201,7 @@
 
 void ConfigReader::Private::askService(const FetchValue &fetch)
 {
-    const std::string name = fetch.kind == ConfigValueKind::Head ? std::string(HeadName) : fetch.hash;
+    const std::string name = fetch.kind == ConfigValueKind::Head ? std::string(ConfigHeadName) : fetch.hash;
     HttpCall call;
     call.url = settings.text("platform.config_url") + "/v1/values/" + name;
     if (fetch.wait > Duration(0)) {
--- a/main/configstore.cpp
+++ b/main/configstore.cpp
@@ -68,7 +68,7 @@
 
 Result<std::string> ConfigStore::find(const std::string &name) const
 {
-    if (name == HeadName && !m_head.empty()) {
+    if (name == ConfigHeadName && !m_head.empty()) {
         return m_head;
     }
     const auto at = m_values.find(name);
--- a/main/packcommand.cpp
+++ b/main/packcommand.cpp
@@ -77,7 +77,7 @@
 {
     const std::string text = configHeadText(head);
     m_out << "head " << head.version.value() << ": bytes=" << text.size() << "\n";
-    return m_to.write(std::string(HeadName), text);
+    return m_to.write(std::string(ConfigHeadName), text);
 }
 
 Result<bool> Packer::copyPrevious(const std::vector<std::string> &names)
--- a/main/valuedirectory.cpp
+++ b/main/valuedirectory.cpp
@@ -17,7 +17,7 @@
 
 bool ValueDirectory::hasHead() const
 {
-    return std::filesystem::exists(m_path + "/" + std::string(HeadName));
+    return std::filesystem::exists(m_path + "/" + std::string(ConfigHeadName));
 }
 
 Result<std::string> ValueDirectory::text(const std::string &name) const
@@ -33,7 +33,7 @@
 
 Result<ConfigValue> ValueDirectory::read(ConfigValueKind kind, const std::string &hash) const
 {
-    const auto content = text(kind == ConfigValueKind::Head ? std::string(HeadName) : hash);
+    const auto content = text(kind == ConfigValueKind::Head ? std::string(ConfigHeadName) : hash);
     if (!content.isOk()) {
         return content.error();
     }
--- a/protocol/configvalues.h
+++ b/protocol/configvalues.h
@@ -13,7 +13,7 @@
 // The published configuration as JSON. Each value stays under a megabyte.
 
 /** The name of the head among the published values; the others are named by their hash. */
-inline constexpr std::string_view HeadName = "head";
+inline constexpr std::string_view ConfigHeadName = "head";
 inline constexpr std::size_t MaxConfigValueBytes = 1'000'000;
 
 /**
