--- a/main/entry/requestjob.cpp
+++ b/main/entry/requestjob.cpp
@@ -520,8 +520,9 @@
         deliver(answer, std::move(m_body));
         return;
     }
-    if (!m_events.rest().empty()) {
-        m_exchange->write(m_events.rest()); // The stream ended without a final empty line; the remaining bytes are forwarded unchanged.
+    if (!m_events.partialEvent().empty()) {
+        m_exchange->write(
+            m_events.partialEvent()); // The stream ended without a final empty line; the remaining bytes are forwarded unchanged.
     }
     m_exchange->finish();
     end(RequestOutcome::Served, "");
@@ -573,7 +574,7 @@
 
 void RequestJob::onStreamInterrupted()
 {
-    m_events.dropRest();
+    m_events.discardPartialEvent();
     if (!m_route.isResumable || m_possibleRuns >= m_route.maxAttempts) {
         abortStream("the upstream did not finish the stream");
         return;
--- a/protocol/eventsplitter.h
+++ b/protocol/eventsplitter.h
@@ -18,12 +18,12 @@
     /** Takes in @p bytes and returns the whole events that they complete, byte for byte. */
     std::string push(std::string_view bytes);
     /** What came after the last whole event. */
-    const std::string &rest() const
+    const std::string &partialEvent() const
     {
         return m_rest;
     }
     /** Drops what came after the last whole event. */
-    void dropRest()
+    void discardPartialEvent()
     {
         m_rest.clear();
     }
--- a/tests/protocol/testfleetcodec.cpp
+++ b/tests/protocol/testfleetcodec.cpp
@@ -83,8 +83,8 @@
     cr_assert(splitter.push("id: 1\nda").empty());
     cr_assert(splitter.push("ta: a\n\nid: 2\nda") == "id: 1\ndata: a\n\n");
     cr_assert(splitter.lastId() == "1");
-    cr_assert(splitter.rest() == "id: 2\nda");
-    splitter.dropRest();
+    cr_assert(splitter.partialEvent() == "id: 2\nda");
+    splitter.discardPartialEvent();
     cr_assert(splitter.push("id:3\r\ndata: c\r\n\r\n") == "id:3\r\ndata: c\r\n\r\n");
     cr_assert(splitter.lastId() == "3");
 }
