--- a/main/entry/requestjob.cpp
+++ b/main/entry/requestjob.cpp
@@ -178,7 +178,7 @@
         return true;
     }
     if (!needsAdapter()) {
-        return record.models.empty() || record.holds(m_decoded.generation->model);
+        return record.models.empty() || record.hasModel(m_decoded.generation->model);
     }
     const auto copy = m_context.clusterState().residencies.copy(record, adapter());
     if (!copy || !copy->isReady || !m_context.clusterState().outliers.isReachable(record.id, now())) {
--- a/state/upstreamrecord.h
+++ b/state/upstreamrecord.h
@@ -40,7 +40,7 @@
 
     bool operator==(const UpstreamRecord &) const = default;
 
-    bool holds(const BaseModelId &model) const
+    bool hasModel(const BaseModelId &model) const
     {
         for (const LoadedModel &held : models) {
             if (held.id == model) {
--- a/tests/platform/testrecords.cpp
+++ b/tests/platform/testrecords.cpp
@@ -104,7 +104,7 @@
 {
     const auto record = decodeUpstream(UpstreamId("u"), UpstreamEntry);
     cr_assert(record.isOk(), "%s", record.isOk() ? "" : record.error().detail.c_str());
-    cr_assert(record.value().holds(BaseModelId("m")));
+    cr_assert(record.value().hasModel(BaseModelId("m")));
     cr_assert(record.value().models[0].adapters[0].name() == "a7@2");
     cr_assert_eq(record.value().startedAt, 1769525387965);
     cr_assert(decodeUpstream(UpstreamId("u"), replaced(UpstreamEntry, "ready", "draining")).value().isLeaving);
