--- a/main/metrics.cpp
+++ b/main/metrics.cpp
@@ -36,16 +36,16 @@
     ServiceLevels *levels = nullptr;
     const Clock *clock = nullptr;
 
-    void answered(ServiceClass serviceClass, Duration took)
+    void recordAnswer(ServiceClass serviceClass, Duration took)
     {
         if (levels != nullptr) {
-            levels->answered(serviceClass, took, clock->now());
+            levels->recordAnswer(serviceClass, took, clock->now());
         }
     }
-    void failed(ServiceClass serviceClass, ErrorKind kind)
+    void recordFailure(ServiceClass serviceClass, ErrorKind kind)
     {
         if (levels != nullptr) {
-            levels->failed(serviceClass, kind, clock->now());
+            levels->recordFailure(serviceClass, kind, clock->now());
         }
     }
 
@@ -116,29 +116,29 @@
     d->stalls.Add({ { "class", word } }, SecondsBuckets).Observe(stall.toSeconds());
     d->firstTokens.Add({ { "class", word } }, SecondsBuckets).Observe(firstToken.toSeconds());
     d->durations.Add({ { "class", word } }, SecondsBuckets).Observe(whole.toSeconds());
-    d->answered(classOf(priority), firstToken);
+    d->recordAnswer(classOf(priority), firstToken);
 }
 
 void Metrics::completionFailed(Priority priority, ErrorKind kind)
 {
     d->completions.Add({ { "class", wordOf(priority) }, { "outcome", std::string(errorAnswer(kind).code) } }).Increment();
-    d->failed(classOf(priority), kind);
+    d->recordFailure(classOf(priority), kind);
 }
 
 void Metrics::serviceCall(const std::string &service, int status, Duration took)
 {
     d->serviceCalls.Add({ { "service", service }, { "status", std::to_string(status) } }).Increment();
     if (status >= FirstServerError) {
-        d->failed(ServiceClass::Service, ErrorKind::UpstreamFailed);
+        d->recordFailure(ServiceClass::Service, ErrorKind::UpstreamFailed);
     } else {
-        d->answered(ServiceClass::Service, took);
+        d->recordAnswer(ServiceClass::Service, took);
     }
 }
 
 void Metrics::serviceFailed(const std::string &service, ErrorKind kind)
 {
     d->serviceCalls.Add({ { "service", service }, { "status", std::to_string(errorAnswer(kind).httpStatus) } }).Increment();
-    d->failed(ServiceClass::Service, kind);
+    d->recordFailure(ServiceClass::Service, kind);
 }
 
 void Metrics::adapterLoad(bool isLoaded, Duration took)
--- a/state/servicelevel.cpp
+++ b/state/servicelevel.cpp
@@ -93,13 +93,13 @@
     return d->objectives[static_cast<std::size_t>(serviceClass)];
 }
 
-void ServiceLevels::answered(ServiceClass serviceClass, Duration took, Time now)
+void ServiceLevels::recordAnswer(ServiceClass serviceClass, Duration took, Time now)
 {
     const Duration limit = objective(serviceClass).limit;
     d->add(serviceClass, limit == Duration(0) || took <= limit, now);
 }
 
-void ServiceLevels::failed(ServiceClass serviceClass, ErrorKind kind, Time now)
+void ServiceLevels::recordFailure(ServiceClass serviceClass, ErrorKind kind, Time now)
 {
     if (spendsErrorBudget(kind)) {
         d->add(serviceClass, false, now);
--- a/state/servicelevel.h
+++ b/state/servicelevel.h
@@ -68,9 +68,9 @@
 
     const Objective &objective(ServiceClass serviceClass) const;
     /** An event was answered after @p took; it is bad when that is over the limit. */
-    void answered(ServiceClass serviceClass, Duration took, Time now);
+    void recordAnswer(ServiceClass serviceClass, Duration took, Time now);
     /** An event failed; it counts only when spendsErrorBudget(). */
-    void failed(ServiceClass serviceClass, ErrorKind kind, Time now);
+    void recordFailure(ServiceClass serviceClass, ErrorKind kind, Time now);
     /** The events of the last @p minutes, 1 to MinuteCount, the current one included. */
     EventCounts window(ServiceClass serviceClass, std::size_t minutes, Time now) const;
     /** The same minute by minute, the oldest first. */
--- a/tests/main/testburnreport.cpp
+++ b/tests/main/testburnreport.cpp
@@ -12,10 +12,10 @@
     ServiceLevels levels({ Objective { 0.99, Duration(1000) }, Objective {}, Objective {}, Objective {} });
     const Time now = Time(600'000'000);
     for (int i = 0; i < good; ++i) {
-        levels.answered(ServiceClass::Urgent, Duration(1), now);
+        levels.recordAnswer(ServiceClass::Urgent, Duration(1), now);
     }
     for (int i = 0; i < bad; ++i) {
-        levels.failed(ServiceClass::Urgent, ErrorKind::UpstreamFailed, now);
+        levels.recordFailure(ServiceClass::Urgent, ErrorKind::UpstreamFailed, now);
     }
     return burnReportOf(levels, "kumasi", node, now);
 }
--- a/tests/state/testservicelevel.cpp
+++ b/tests/state/testservicelevel.cpp
@@ -36,9 +36,9 @@
         const Time now = minute(0) + Duration::seconds(second);
         const bool isOutage = second >= 3300;
         if (isOutage && second % 10 == 0) {
-            levels.failed(ServiceClass::Urgent, ErrorKind::UpstreamFailed, now);
+            levels.recordFailure(ServiceClass::Urgent, ErrorKind::UpstreamFailed, now);
         } else {
-            levels.answered(ServiceClass::Urgent, Duration(100), now);
+            levels.recordAnswer(ServiceClass::Urgent, Duration(100), now);
         }
     }
     const Time end = minute(0) + Duration::seconds(3599);
@@ -50,11 +50,11 @@
 Test(servicelevel, aLateAnswerIsBadAndACallersMistakeIsNone)
 {
     ServiceLevels levels(objectives());
-    levels.answered(ServiceClass::Urgent, Duration(1000), minute(1));
-    levels.answered(ServiceClass::Urgent, Duration(1001), minute(1));
-    levels.failed(ServiceClass::Urgent, ErrorKind::UnknownSelector, minute(1));
-    levels.failed(ServiceClass::Urgent, ErrorKind::CallerGone, minute(1));
-    levels.answered(ServiceClass::Patient, Duration::seconds(3000), minute(1));
+    levels.recordAnswer(ServiceClass::Urgent, Duration(1000), minute(1));
+    levels.recordAnswer(ServiceClass::Urgent, Duration(1001), minute(1));
+    levels.recordFailure(ServiceClass::Urgent, ErrorKind::UnknownSelector, minute(1));
+    levels.recordFailure(ServiceClass::Urgent, ErrorKind::CallerGone, minute(1));
+    levels.recordAnswer(ServiceClass::Patient, Duration::seconds(3000), minute(1));
     const EventCounts urgent = levels.window(ServiceClass::Urgent, 1, minute(1));
     cr_assert_eq(urgent.good, 1);
     cr_assert_eq(urgent.bad, 1);
@@ -64,10 +64,10 @@
 Test(servicelevel, oldMinutesFallOut)
 {
     ServiceLevels levels(objectives());
-    levels.failed(ServiceClass::Service, ErrorKind::UpstreamFailed, minute(0));
+    levels.recordFailure(ServiceClass::Service, ErrorKind::UpstreamFailed, minute(0));
     cr_assert_eq(levels.window(ServiceClass::Service, 360, minute(359)).bad, 1);
     cr_assert_eq(levels.window(ServiceClass::Service, 360, minute(360)).bad, 0);
-    levels.answered(ServiceClass::Service, Duration(1), minute(360));
+    levels.recordAnswer(ServiceClass::Service, Duration(1), minute(360));
     cr_assert_eq(levels.window(ServiceClass::Service, 1, minute(360)).total(), 1, "the ring's place was taken over from an old minute");
     cr_assert_eq(burnRate({}, Urgent), 0);
 }
