--- a/main/packcommand.cpp
+++ b/main/packcommand.cpp
@@ -118,7 +118,7 @@
     }
     ConfigHead head = std::get<ConfigHead>(previousHead.value());
     content.version = head.version + ConfigVersion(1);
-    const CatalogDelta change = differenceOf(previous.value()->content(), content);
+    const CatalogDelta change = catalogDifference(previous.value()->content(), content);
     if (!m_isInPlace) {
         auto copied = copyPrevious(names.value());
         if (!copied.isOk()) {
--- a/state/catalogdifference.cpp
+++ b/state/catalogdifference.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-CatalogDelta differenceOf(const CatalogContent &old, const CatalogContent &next)
+CatalogDelta catalogDifference(const CatalogContent &old, const CatalogContent &next)
 {
     CatalogDelta delta;
     delta.from = old.version;
--- a/state/catalogdifference.h
+++ b/state/catalogdifference.h
@@ -6,7 +6,7 @@
 {
 
 /** The change that makes @p next of @p old; its versions are those of the two. */
-CatalogDelta differenceOf(const CatalogContent &old, const CatalogContent &next);
+CatalogDelta catalogDifference(const CatalogContent &old, const CatalogContent &next);
 
 /** True when @p delta changes nothing but the version. */
 bool isEmpty(const CatalogDelta &delta);
