--- a/main/ledgerhandover.cpp
+++ b/main/ledgerhandover.cpp
@@ -22,7 +22,7 @@
 {
     absl::Notification done;
     bool isTaken = false;
-    peers.tell(node.rpcAddress, LedgerPart, batch, [&](const Result<std::string> &answer) {
+    peers.sendMessage(node.rpcAddress, LedgerPart, batch, [&](const Result<std::string> &answer) {
         isTaken = answer.isOk();
         if (!isTaken) {
             componentLogger("ledger")->warn("{} did not take a batch. {}", node.id.value(), answer.error().detail);
--- a/main/operatorport.cpp
+++ b/main/operatorport.cpp
@@ -83,7 +83,7 @@
             gathering->add(node.id, Error { ErrorKind::PeerUnreachable, "no address yet" });
             continue;
         }
-        peers.tell(node.rpcAddress, OperatorPart, topic,
+        peers.sendMessage(node.rpcAddress, OperatorPart, topic,
             [gathering, id = node.id](Result<std::string> answer) { gathering->add(id, std::move(answer)); });
     }
 }
--- a/main/permitrunner.cpp
+++ b/main/permitrunner.cpp
@@ -174,7 +174,7 @@
         }
         const std::string address = errand.address;
         const std::string bytes = encodePermitMessage(errand.message);
-        peers.tell(address, std::string(PermitPart), bytes,
+        peers.sendMessage(address, std::string(PermitPart), bytes,
             [weak = weak_from_this(), errand = std::move(errand)](const Result<std::string> &answer) {
                 if (const auto runner = weak.lock()) {
                     runner->told(errand, answer);
--- a/tests/main/testcallerfrontend.cpp
+++ b/tests/main/testcallerfrontend.cpp
@@ -28,7 +28,7 @@
     void fetch(const std::string &, const std::string &, std::function<void(Result<std::string>)>) override
     {
     }
-    void tell(const std::string &, const std::string &, const std::string &, std::function<void(Result<std::string>)>) override
+    void sendMessage(const std::string &, const std::string &, const std::string &, std::function<void(Result<std::string>)>) override
     {
     }
 
--- a/tests/main/testpermitrunner.cpp
+++ b/tests/main/testpermitrunner.cpp
@@ -27,7 +27,7 @@
         void fetch(const std::string &, const std::string &, std::function<void(Result<std::string>)>) override
         {
         }
-        void tell(const std::string &address, const std::string &, const std::string &message,
+        void sendMessage(const std::string &address, const std::string &, const std::string &message,
             std::function<void(Result<std::string>)> done) override
         {
             world->post.push_back({ address, message, std::move(done) });
--- a/tests/transport/testnoderpc.cpp
+++ b/tests/transport/testnoderpc.cpp
@@ -209,7 +209,7 @@
     cr_assert_eq(fetch(*one, addressOf(*two), "config/page/7").value().size(), 900'000);
     cr_assert(fetch(*one, addressOf(*two), "other").error().kind == ErrorKind::NotFound);
     absl::Notification done;
-    one->tell(addressOf(*two), "permits", "load", [&](const Result<std::string> &answer) {
+    one->sendMessage(addressOf(*two), "permits", "load", [&](const Result<std::string> &answer) {
         cr_assert(answer.value() == "load granted");
         done.Notify();
     });
--- a/transport/noderpc.cpp
+++ b/transport/noderpc.cpp
@@ -266,7 +266,7 @@
     });
 }
 
-void NodeRpc::tell(
+void NodeRpc::sendMessage(
     const std::string &rpcAddress, const std::string &part, const std::string &message, std::function<void(Result<std::string>)> done)
 {
     d->loop->post([d = d.get(), rpcAddress, part, message, done = std::move(done)] {
--- a/transport/noderpc.h
+++ b/transport/noderpc.h
@@ -24,7 +24,7 @@
     std::string tlsName = "apricotstep-node";
     /** To connect and authenticate. */
     Duration connectTimeout { 1000 };
-    /** For a whole fetch() or tell(). */
+    /** For a whole fetch() or sendMessage(). */
     Duration callTimeout { 3000 };
     /** While a forward is in progress the peer must answer a ping within this, twice. */
     Duration pingTimeout { 2000 };
@@ -60,7 +60,7 @@
 
     /** Serves fetch() of the names that begin with @p prefix; the longest prefix wins. */
     void serveValue(const std::string &prefix, ValueHandler handler);
-    /** Serves tell() to @p part. */
+    /** Serves sendMessage() to @p part. */
     void servePart(const std::string &part, PartHandler handler);
     /** Serves forward(). Until it is set, forwarded requests are refused as NotReady. */
     void serveForwards(ForwardHandler handler);
@@ -68,7 +68,7 @@
     void forward(const std::string &rpcAddress, const HttpRequest &request, int hops, const std::shared_ptr<HttpExchange> &exchange,
         std::function<void(const Error &)> onNotSent) override;
     void fetch(const std::string &rpcAddress, const std::string &name, std::function<void(Result<std::string>)> done) override;
-    void tell(const std::string &rpcAddress, const std::string &part, const std::string &message,
+    void sendMessage(const std::string &rpcAddress, const std::string &part, const std::string &message,
         std::function<void(Result<std::string>)> done) override;
 
 private:
--- a/transport/peers.h
+++ b/transport/peers.h
@@ -30,7 +30,7 @@
     virtual void fetch(const std::string &rpcAddress, const std::string &name, std::function<void(Result<std::string>)> done) = 0;
 
     /** Sends a short message of one part to the same part of the peer and gets its answer. Errors: PeerUnreachable, NotFound. */
-    virtual void tell(const std::string &rpcAddress, const std::string &part, const std::string &message,
+    virtual void sendMessage(const std::string &rpcAddress, const std::string &part, const std::string &message,
         std::function<void(Result<std::string>)> done) = 0;
 };
 
