--- a/main/enginerunner.cpp
+++ b/main/enginerunner.cpp
@@ -343,7 +343,7 @@
         { "X-Deadline-Ms", std::to_string(timeLeft(what.work.deadline, parts.clock.now()).milliseconds()) } };
     call.body = what.body;
     call.connectTimeout = parts.settings.duration("upstreams.connect_timeout_ms");
-    call.silenceTimeout = parts.settings.duration("upstreams.silence_timeout_ms");
+    call.inactivityTimeout = parts.settings.duration("upstreams.silence_timeout_ms");
     call.maySend = [self = shared_from_this(), job] { return self->maySend(job); };
     call.onHead = [job](int status, const auto &headers) { job->reply.onHead(status, headers); };
     call.onData = [self = shared_from_this(), job](std::string_view data) { return self->onData(job, data); };
--- a/transport/httpclient.cpp
+++ b/transport/httpclient.cpp
@@ -328,9 +328,9 @@
     curl_easy_setopt(easy, CURLOPT_HTTPHEADER, transfer.headerList);
     curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, static_cast<long>(call.connectTimeout.milliseconds()));
     curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, static_cast<long>(call.totalTimeout.milliseconds()));
-    if (call.silenceTimeout > Duration(0)) {
+    if (call.inactivityTimeout > Duration(0)) {
         curl_easy_setopt(easy, CURLOPT_LOW_SPEED_LIMIT, 1L);
-        curl_easy_setopt(easy, CURLOPT_LOW_SPEED_TIME, static_cast<long>(call.silenceTimeout.milliseconds() / 1000));
+        curl_easy_setopt(easy, CURLOPT_LOW_SPEED_TIME, static_cast<long>(call.inactivityTimeout.milliseconds() / 1000));
     }
     if (!call.authorityFile.empty()) {
         curl_easy_setopt(easy, CURLOPT_CAINFO, call.authorityFile.c_str());
--- a/transport/httpclient.h
+++ b/transport/httpclient.h
@@ -45,7 +45,7 @@
     /** For the whole call; zero means none. */
     Duration totalTimeout = Duration(0);
     /** Longest silence of the upstream after the request was sent; whole seconds; zero means none. */
-    Duration silenceTimeout = Duration(0);
+    Duration inactivityTimeout = Duration(0);
     /** PEM file of the authorities that an https server's certificate must come from; empty takes the system's. */
     std::string authorityFile;
     /** False for a call that must not run twice: it gets a connection of its own, since libcurl by itself sends again on a reused one. */
