--- a/main/rpcsettings.cpp
+++ b/main/rpcsettings.cpp
@@ -32,7 +32,7 @@
     rpc.connectTimeout = settings.duration("rpc.connect_timeout_ms");
     rpc.callTimeout = settings.duration("rpc.call_timeout_ms");
     rpc.pingTimeout = settings.duration("rpc.ping_timeout_ms");
-    rpc.takeTimeout = settings.duration("callers.idle_timeout_ms") + rpc.pingTimeout;
+    rpc.writeTimeout = settings.duration("callers.idle_timeout_ms") + rpc.pingTimeout;
     rpc.maxBodyBytes = static_cast<std::size_t>(settings.number("callers.max_body_bytes"));
     rpc.tlsName = settings.text("rpc.tls_name");
 
--- a/transport/noderpc.h
+++ b/transport/noderpc.h
@@ -29,7 +29,7 @@
     /** While a forward is in progress the peer must answer a ping within this, twice. */
     Duration pingTimeout { 2000 };
     /** A peer that takes no part of an answer for this long has lost its caller. */
-    Duration takeTimeout { 90'000 };
+    Duration writeTimeout { 90'000 };
     /** Longest body of a request; messages may be this and 1 MiB long. */
     std::size_t maxBodyBytes = 8U << 20U;
 };
--- a/transport/rpcserver.cpp
+++ b/transport/rpcserver.cpp
@@ -89,7 +89,7 @@
     kj::Promise<void> forward(ForwardContext context) override
     {
         const auto params = context.getParams();
-        auto sender = kj::heap<AnswerSender>(m_loop, m_senders, params.getAnswer(), m_settings.takeTimeout);
+        auto sender = kj::heap<AnswerSender>(m_loop, m_senders, params.getAnswer(), m_settings.writeTimeout);
         const std::shared_ptr<RpcExchange> exchange = sender->exchange();
         auto whole = sender->whole();
         const int hops = params.getRequest().getHops();
