--- a/tests/proxy/faults.cpp
+++ b/tests/proxy/faults.cpp
@@ -11,7 +11,7 @@
     isBlackHole = false;
     isHalfOpen = false;
     isReset = false;
-    dripBytesPerSecond = 0;
+    maxBytesPerSecond = 0;
     lossPercent = 0;
     duplicatePercent = 0;
     reorderPercent = 0;
--- a/tests/proxy/faults.h
+++ b/tests/proxy/faults.h
@@ -26,7 +26,7 @@
     /** Connections are reset. */
     std::atomic<bool> isReset { false };
     /** Bytes a second; 0 is no limit. */
-    std::atomic<int> dripBytesPerSecond { 0 };
+    std::atomic<int> maxBytesPerSecond { 0 };
     /** Datagrams lost, doubled and held back behind later ones, in percent. */
     std::atomic<int> lossPercent { 0 };
     std::atomic<int> duplicatePercent { 0 };
--- a/tests/proxy/tcpproxy.cpp
+++ b/tests/proxy/tcpproxy.cpp
@@ -148,7 +148,7 @@
 {
     std::size_t sent = 0;
     while (sent < size && !connection.isOver && !isStopping) {
-        const int drip = faults.dripBytesPerSecond;
+        const int drip = faults.maxBytesPerSecond;
         std::size_t count = size - sent;
         if (drip > 0) {
             sleepMs(DripStepMs);
--- a/tests/scenarios/runner/main.cpp
+++ b/tests/scenarios/runner/main.cpp
@@ -137,7 +137,7 @@
         const std::map<std::string, std::function<void(int)>> setters { { "delay_ms", [&](int value) { faults.delayMs = value; } },
             { "cut_answer_after", [&](int value) { faults.cutAnswerAfter = value; } },
             { "cut_request_after", [&](int value) { faults.cutRequestAfter = value; } },
-            { "drip_bytes_per_second", [&](int value) { faults.dripBytesPerSecond = value; } },
+            { "drip_bytes_per_second", [&](int value) { faults.maxBytesPerSecond = value; } },
             { "loss_percent", [&](int value) { faults.lossPercent = value; } },
             { "duplicate_percent", [&](int value) { faults.duplicatePercent = value; } },
             { "reorder_percent", [&](int value) { faults.reorderPercent = value; } } };
