--- a/main/callerfrontend.cpp
+++ b/main/callerfrontend.cpp
@@ -3,7 +3,7 @@
 #include "coordination/rendezvous.h"
 #include "main/engineplacer.h"
 #include "main/log.h"
-#include "main/loglimit.h"
+#include "main/logratelimiter.h"
 #include "protocol/callerapi.h"
 
 #include <absl/base/thread_annotations.h>
--- a/main/callerfrontend.h
+++ b/main/callerfrontend.h
@@ -4,7 +4,7 @@
 #include "main/forwarder.h"
 #include "main/servicerunner.h"
 #include "state/fleetview.h"
-#include "state/published.h"
+#include "state/sharedsnapshot.h"
 
 #include <memory>
 
--- a/main/loglimit.cpp
+++ b/main/logratelimiter.cpp
@@ -1,4 +1,4 @@
-#include "main/loglimit.h"
+#include "main/logratelimiter.h"
 
 #include <utility>
 
--- a/main/membershiprunner.h
+++ b/main/membershiprunner.h
@@ -5,7 +5,7 @@
 #include "core/result.h"
 #include "main/settings.h"
 #include "state/fleetview.h"
-#include "state/published.h"
+#include "state/sharedsnapshot.h"
 
 #include <cstdint>
 #include <functional>
--- a/main/upstreamguard.h
+++ b/main/upstreamguard.h
@@ -5,7 +5,7 @@
 #include "main/settings.h"
 #include "state/catalog.h"
 #include "state/fleetview.h"
-#include "state/published.h"
+#include "state/sharedsnapshot.h"
 #include "transport/httpclient.h"
 
 #include <cstdint>
--- a/tests/main/testcallerfrontend.cpp
+++ b/tests/main/testcallerfrontend.cpp
@@ -1,5 +1,5 @@
 #include "main/callerfrontend.h"
-#include "tests/main/rig.h"
+#include "tests/main/fixtures.h"
 
 #include <nlohmann/json.hpp>
 
--- a/tests/main/testlog.cpp
+++ b/tests/main/testlog.cpp
@@ -1,5 +1,5 @@
 #include "main/logformat.h"
-#include "main/loglimit.h"
+#include "main/logratelimiter.h"
 
 #include <nlohmann/json.hpp>
 #include <spdlog/sinks/ostream_sink.h>
--- a/tests/main/testonetimerequests.cpp
+++ b/tests/main/testonetimerequests.cpp
@@ -1,7 +1,7 @@
 #include "main/ledgerhandover.h"
 #include "main/onetimerequests.h"
 #include "protocol/ledgercodec.h"
-#include "tests/main/rig.h"
+#include "tests/main/fixtures.h"
 #include "transport/noderpc.h"
 
 #include <criterion/criterion.h>
--- a/tests/main/testoperators.cpp
+++ b/tests/main/testoperators.cpp
@@ -1,7 +1,7 @@
 #include "main/node.h"
 #include "main/operatorcommands.h"
 #include "main/operatorport.h"
-#include "tests/main/rig.h"
+#include "tests/main/fixtures.h"
 
 #include <nlohmann/json.hpp>
 
--- a/tests/main/testownership.cpp
+++ b/tests/main/testownership.cpp
@@ -1,6 +1,6 @@
 #include "main/enginerunner.h"
 #include "main/upstreamhealth.h"
-#include "tests/main/rig.h"
+#include "tests/main/fixtures.h"
 
 #include <nlohmann/json.hpp>
 
--- a/tests/main/testpermitrunner.cpp
+++ b/tests/main/testpermitrunner.cpp
@@ -1,6 +1,6 @@
 #include "main/permitrunner.h"
 
-#include "tests/main/rig.h"
+#include "tests/main/fixtures.h"
 
 #include <deque>
 #include <map>
--- a/tests/main/testretries.cpp
+++ b/tests/main/testretries.cpp
@@ -1,6 +1,6 @@
 #include "main/enginerunner.h"
 #include "main/servicerunner.h"
-#include "tests/main/rig.h"
+#include "tests/main/fixtures.h"
 
 #include <criterion/criterion.h>
 
