--- a/transport/noderpc.cpp
+++ b/transport/noderpc.cpp
@@ -51,10 +51,10 @@
 }
 
 // Everything that belongs to the loop's thread, made and destroyed there.
-class LoopSide final : private kj::TaskSet::ErrorHandler
+class LoopState final : private kj::TaskSet::ErrorHandler
 {
 public:
-    LoopSide(const std::shared_ptr<RpcLoop> &loop, const NodeRpcSettings &settings, const RpcHandlers &handlers, std::atomic<int> &served)
+    LoopState(const std::shared_ptr<RpcLoop> &loop, const NodeRpcSettings &settings, const RpcHandlers &handlers, std::atomic<int> &served)
         : m_loop(loop)
         , m_settings(settings)
         , m_tls(makeTls(settings))
@@ -85,7 +85,7 @@
             auto message = link->node().forwardRequest();
             writeRequest(message.initRequest(), request, hops);
             message.setAnswer(receiver->sink());
-            return link->guard(message.send().ignoreResult());
+            return link->monitorCall(message.send().ignoreResult());
         });
         auto ended = call.then([receiver] { receiver->lose("it ended without an answer"); },
             [receiver, isSent, address, onNotSent](kj::Exception &&exception) {
@@ -102,19 +102,19 @@
     template<typename MakeRequest>
     void call(const std::string &address, MakeRequest makeRequest, const std::function<void(Result<std::string>)> &done)
     {
-        auto used = std::make_shared<std::shared_ptr<PeerLink>>();
-        auto answered = m_links.get(address).then([makeRequest, used](std::shared_ptr<PeerLink> &&link) mutable {
-            *used = link;
+        auto usedLink = std::make_shared<std::shared_ptr<PeerLink>>();
+        auto answered = m_links.get(address).then([makeRequest, usedLink](std::shared_ptr<PeerLink> &&link) mutable {
+            *usedLink = link;
             return makeRequest(*link).send().then([](auto &&response) -> Result<std::string> { return readResult(response.getResult()); });
         });
         const kj::Duration limit = m_settings.callTimeout.milliseconds() * kj::MILLISECONDS;
         m_tasks.add(m_loop->timer()
                         .timeoutAfter(limit, kj::mv(answered))
                         .then([done](Result<std::string> &&result) { done(std::move(result)); },
-                            [done, address, used](kj::Exception &&exception) {
-                                if (*used != nullptr) {
+                            [done, address, usedLink](kj::Exception &&exception) {
+                                if (*usedLink != nullptr) {
                                     // It may be paused for long: the next call finds out while it connects, which takes less time.
-                                    (*used)->die("a call took too long");
+                                    (*usedLink)->markBroken("a call took too long");
                                 }
                                 done(unreachable(address, exception));
                             }));
@@ -167,7 +167,7 @@
     std::atomic<int> served { 0 };
     std::uint16_t port = 0;
     std::shared_ptr<RpcLoop> loop = std::make_shared<RpcLoop>();
-    std::unique_ptr<LoopSide> side; // Made, used and destroyed on the loop's thread.
+    std::unique_ptr<LoopState> loopState; // Made, used and destroyed on the loop's thread.
 
     Result<std::uint16_t> listen();
 };
@@ -184,8 +184,8 @@
     };
     loop->post([&] {
         KJ_IF_MAYBE (exception, kj::runCatchingExceptions([&] {
-                         side = std::make_unique<LoopSide>(loop, settings, handlers, served);
-                         side->add(side->server().listen().then(
+                         loopState = std::make_unique<LoopState>(loop, settings, handlers, served);
+                         loopState->add(loopState->server().listen().then(
                              [&](std::uint16_t bound) {
                                  result = bound;
                                  done.Notify();
@@ -206,7 +206,7 @@
 
 NodeRpc::~NodeRpc()
 {
-    d->loop->stop([this] { d->side.reset(); });
+    d->loop->stop([this] { d->loopState.reset(); });
 }
 
 Result<std::unique_ptr<NodeRpc>> NodeRpc::start(const NodeRpcSettings &settings)
@@ -250,7 +250,7 @@
     std::function<void(const Error &)> onNotSent)
 {
     d->loop->post([d = d.get(), rpcAddress, request, hops, exchange, onNotSent = std::move(onNotSent)] {
-        d->side->forward(rpcAddress, request, hops, exchange, onNotSent);
+        d->loopState->forward(rpcAddress, request, hops, exchange, onNotSent);
     });
 }
 
@@ -262,7 +262,7 @@
             request.setName(name.c_str());
             return request;
         };
-        d->side->call(rpcAddress, makeRequest, done);
+        d->loopState->call(rpcAddress, makeRequest, done);
     });
 }
 
@@ -276,7 +276,7 @@
             request.setMessage(bytesOf(message));
             return request;
         };
-        d->side->call(rpcAddress, makeRequest, done);
+        d->loopState->call(rpcAddress, makeRequest, done);
     });
 }
 
--- a/transport/peerlink.cpp
+++ b/transport/peerlink.cpp
@@ -20,7 +20,7 @@
 // A process that itself wakes from a pause finds its timers overdue before it has read what came meanwhile; the second ping is fair.
 constexpr int MaxMissedPings = 2;
 
-kj::Duration span(Duration duration)
+kj::Duration kjDuration(Duration duration)
 {
     return duration.milliseconds() * kj::MILLISECONDS;
 }
@@ -39,7 +39,7 @@
     return options;
 }
 
-void keepAlive(kj::AsyncIoStream &stream)
+void enableKeepAlive(kj::AsyncIoStream &stream)
 {
     setOption(stream, SOL_SOCKET, SO_KEEPALIVE, 1);
     setOption(stream, IPPROTO_TCP, TCP_KEEPIDLE, KeepAliveIdleSeconds);
@@ -54,13 +54,13 @@
     , m_stream(kj::mv(stream))
     , m_network(*m_stream, capnp::rpc::twoparty::Side::CLIENT, readerOptions(settings))
     , m_rpc(capnp::makeRpcClient(m_network))
-    , m_death(nullptr)
-    , m_watch(nullptr)
+    , m_broken(nullptr)
+    , m_disconnectWatch(nullptr)
 {
-    auto death = kj::newPromiseAndFulfiller<void>();
-    m_kill = kj::mv(death.fulfiller);
-    m_death = death.promise.fork();
-    m_watch = m_network.onDisconnect().then([this] { die("the connection closed"); }).eagerlyEvaluate(nullptr);
+    auto broken = kj::newPromiseAndFulfiller<void>();
+    m_brokenFulfiller = kj::mv(broken.fulfiller);
+    m_broken = broken.promise.fork();
+    m_disconnectWatch = m_network.onDisconnect().then([this] { markBroken("the connection closed"); }).eagerlyEvaluate(nullptr);
 }
 
 kj::Promise<void> PeerLink::authenticate()
@@ -88,46 +88,46 @@
     return KJ_ASSERT_NONNULL(m_node);
 }
 
-bool PeerLink::isDead() const
+bool PeerLink::isBroken() const
 {
-    return m_isDead;
+    return m_isBroken;
 }
 
-void PeerLink::die(const std::string &why)
+void PeerLink::markBroken(const std::string &why)
 {
-    if (!m_isDead) {
-        m_isDead = true;
-        m_kill->reject(KJ_EXCEPTION(DISCONNECTED, why.c_str()));
+    if (!m_isBroken) {
+        m_isBroken = true;
+        m_brokenFulfiller->reject(KJ_EXCEPTION(DISCONNECTED, why.c_str()));
     }
 }
 
-kj::Promise<void> PeerLink::guard(kj::Promise<void> call)
+kj::Promise<void> PeerLink::monitorCall(kj::Promise<void> call)
 {
-    if (m_guarded++ == 0) {
+    if (m_monitoredCalls++ == 0) {
         m_pings = pingLoop().eagerlyEvaluate(nullptr);
     }
     auto end = kj::defer([self = shared_from_this()] {
-        if (--self->m_guarded == 0) {
+        if (--self->m_monitoredCalls == 0) {
             self->m_pings = nullptr;
         }
     });
-    return call.exclusiveJoin(m_death.addBranch()).attach(kj::mv(end));
+    return call.exclusiveJoin(m_broken.addBranch()).attach(kj::mv(end));
 }
 
 kj::Promise<void> PeerLink::pingLoop()
 {
     auto missed = std::make_shared<int>(0);
     auto ping = [this, missed] {
-        return m_timer.timeoutAfter(span(m_settings.pingTimeout), node().pingRequest().send().ignoreResult())
+        return m_timer.timeoutAfter(kjDuration(m_settings.pingTimeout), node().pingRequest().send().ignoreResult())
             .then([missed] { *missed = 0; },
                 [this, missed](kj::Exception &&exception) {
                     if (++*missed >= MaxMissedPings || exception.getType() == kj::Exception::Type::DISCONNECTED) {
-                        die("it answers no pings");
+                        markBroken("it answers no pings");
                     }
                 });
     };
-    return m_timer.afterDelay(span(m_settings.pingTimeout)).then(kj::mv(ping)).then([this]() -> kj::Promise<void> {
-        if (m_isDead) {
+    return m_timer.afterDelay(kjDuration(m_settings.pingTimeout)).then(kj::mv(ping)).then([this]() -> kj::Promise<void> {
+        if (m_isBroken) {
             return kj::READY_NOW;
         }
         return pingLoop();
@@ -144,13 +144,13 @@
 kj::Promise<std::shared_ptr<PeerLink>> PeerLinks::get(const std::string &address)
 {
     std::shared_ptr<Entry> &entry = m_entries[address];
-    if (entry == nullptr || entry->isFailed || (entry->made != nullptr && entry->made->isDead())) {
+    if (entry == nullptr || entry->isFailed || (entry->established != nullptr && entry->established->isBroken())) {
         entry = std::make_shared<Entry>();
         entry->link = connect(address).fork();
     }
     return entry->link.addBranch().then(
         [entry = entry](std::shared_ptr<PeerLink> &&link) {
-            entry->made = link;
+            entry->established = link;
             return kj::mv(link);
         },
         [entry = entry](kj::Exception &&exception) -> std::shared_ptr<PeerLink> {
@@ -161,24 +161,24 @@
 
 kj::Promise<std::shared_ptr<PeerLink>> PeerLinks::connect(const std::string &address)
 {
-    auto linked = m_loop.network()
-                      .parseAddress(address.c_str())
-                      .then([](kj::Own<kj::NetworkAddress> &&parsed) {
-                          auto connecting = parsed->connect();
-                          return connecting.attach(kj::mv(parsed));
-                      })
-                      .then([this](kj::Own<kj::AsyncIoStream> &&stream) -> kj::Promise<kj::Own<kj::AsyncIoStream>> {
-                          keepAlive(*stream);
-                          KJ_IF_MAYBE (tls, m_tls) {
-                              return tls->wrapClient(kj::mv(stream), m_settings.tlsName.c_str());
-                          }
-                          return kj::mv(stream);
-                      })
-                      .then([this](kj::Own<kj::AsyncIoStream> &&stream) {
-                          auto link = std::make_shared<PeerLink>(kj::mv(stream), m_settings, m_loop.timer());
-                          return link->authenticate().then([link] { return link; });
-                      });
-    return m_loop.timer().timeoutAfter(span(m_settings.connectTimeout), kj::mv(linked));
+    auto connecting = m_loop.network()
+                          .parseAddress(address.c_str())
+                          .then([](kj::Own<kj::NetworkAddress> &&parsed) {
+                              auto connection = parsed->connect();
+                              return connection.attach(kj::mv(parsed));
+                          })
+                          .then([this](kj::Own<kj::AsyncIoStream> &&stream) -> kj::Promise<kj::Own<kj::AsyncIoStream>> {
+                              enableKeepAlive(*stream);
+                              KJ_IF_MAYBE (tls, m_tls) {
+                                  return tls->wrapClient(kj::mv(stream), m_settings.tlsName.c_str());
+                              }
+                              return kj::mv(stream);
+                          })
+                          .then([this](kj::Own<kj::AsyncIoStream> &&stream) {
+                              auto link = std::make_shared<PeerLink>(kj::mv(stream), m_settings, m_loop.timer());
+                              return link->authenticate().then([link] { return link; });
+                          });
+    return m_loop.timer().timeoutAfter(kjDuration(m_settings.connectTimeout), kj::mv(connecting));
 }
 
 } // namespace ApricotStep
--- a/transport/peerlink.h
+++ b/transport/peerlink.h
@@ -17,7 +17,7 @@
 /** How messages are read: their size is bounded, since each is held in memory whole. */
 capnp::ReaderOptions readerOptions(const NodeRpcSettings &settings);
 /** Has the kernel give up a connection whose other end vanished without a word, such as a VM that lost its power. */
-void keepAlive(kj::AsyncIoStream &stream);
+void enableKeepAlive(kj::AsyncIoStream &stream);
 
 /** One connection to a peer. Only on the loop's thread. */
 class PeerLink : public std::enable_shared_from_this<PeerLink>
@@ -29,14 +29,14 @@
     kj::Promise<void> authenticate();
     /** Only after authenticate(). */
     Wire::PeerNode::Client &node();
-    bool isDead() const;
+    bool isBroken() const;
     /** The next call makes a new connection. */
-    void die(const std::string &why);
+    void markBroken(const std::string &why);
     /**
      * Passes on @p call, or fails when the connection dies first. A peer whose process is paused keeps its connections open and answers
      * nothing: pings tell it from one whose answer just takes long, else its callers would hang until their own deadlines.
      */
-    kj::Promise<void> guard(kj::Promise<void> call);
+    kj::Promise<void> monitorCall(kj::Promise<void> call);
 
 private:
     kj::Promise<void> pingLoop();
@@ -47,12 +47,12 @@
     capnp::TwoPartyVatNetwork m_network;
     capnp::RpcSystem<capnp::rpc::twoparty::VatId> m_rpc;
     kj::Maybe<Wire::PeerNode::Client> m_node;
-    kj::Own<kj::PromiseFulfiller<void>> m_kill;
-    kj::ForkedPromise<void> m_death;
-    bool m_isDead = false;
-    int m_guarded = 0;
+    kj::Own<kj::PromiseFulfiller<void>> m_brokenFulfiller;
+    kj::ForkedPromise<void> m_broken;
+    bool m_isBroken = false;
+    int m_monitoredCalls = 0;
     kj::Maybe<kj::Promise<void>> m_pings;
-    kj::Promise<void> m_watch;
+    kj::Promise<void> m_disconnectWatch;
 };
 
 /** The connections to all peers, made when needed. Only on the loop's thread. */
@@ -68,7 +68,7 @@
     struct Entry
     {
         kj::ForkedPromise<std::shared_ptr<PeerLink>> link { nullptr };
-        std::shared_ptr<PeerLink> made;
+        std::shared_ptr<PeerLink> established;
         bool isFailed = false;
     };
     kj::Promise<std::shared_ptr<PeerLink>> connect(const std::string &address);
--- a/transport/rpcserver.cpp
+++ b/transport/rpcserver.cpp
@@ -263,7 +263,7 @@
 
 kj::Promise<void> RpcServer::serve(kj::Own<kj::AsyncIoStream> stream)
 {
-    keepAlive(*stream);
+    enableKeepAlive(*stream);
     KJ_IF_MAYBE (tls, m_tls) {
         const kj::Duration limit = m_settings.connectTimeout.milliseconds() * kj::MILLISECONDS;
         return m_loop->timer().timeoutAfter(limit, tls->wrapServer(kj::mv(stream))).then([this](kj::Own<kj::AsyncIoStream> &&secure) {
@@ -277,16 +277,16 @@
 {
     auto connection = kj::heap<Connection>(kj::mv(stream), m_settings, m_node);
     auto closed = connection->network.onDisconnect();
-    auto unproven = m_loop->timer()
-                        .afterDelay(m_settings.connectTimeout.milliseconds() * kj::MILLISECONDS)
-                        .then([isAuthenticated = connection->isAuthenticated]() -> kj::Promise<void> {
-                            if (*isAuthenticated) {
-                                return kj::NEVER_DONE;
-                            }
-                            spdlog::warn("rpc: Closed a connection whose peer did not prove that it knows the secret.");
-                            return kj::READY_NOW;
-                        });
-    return closed.exclusiveJoin(kj::mv(unproven)).attach(kj::mv(connection));
+    auto authenticationTimeout = m_loop->timer()
+                                     .afterDelay(m_settings.connectTimeout.milliseconds() * kj::MILLISECONDS)
+                                     .then([isAuthenticated = connection->isAuthenticated]() -> kj::Promise<void> {
+                                         if (*isAuthenticated) {
+                                             return kj::NEVER_DONE;
+                                         }
+                                         spdlog::warn("rpc: Closed a connection whose peer did not prove that it knows the secret.");
+                                         return kj::READY_NOW;
+                                     });
+    return closed.exclusiveJoin(kj::mv(authenticationTimeout)).attach(kj::mv(connection));
 }
 
 void RpcServer::taskFailed(kj::Exception &&exception)
