--- a/transport/noderpc.cpp
+++ b/transport/noderpc.cpp
@@ -87,13 +87,13 @@
             message.setAnswer(receiver->sink());
             return link->monitorCall(message.send().ignoreResult());
         });
-        auto ended = call.then([receiver] { receiver->lose("it ended without an answer"); },
+        auto ended = call.then([receiver] { receiver->failOwnerLost("it ended without an answer"); },
             [receiver, isSent, address, onNotSent](kj::Exception &&exception) {
                 if (*isSent) {
-                    receiver->lose(exception.getDescription().cStr());
+                    receiver->failOwnerLost(exception.getDescription().cStr());
                     return;
                 }
-                receiver->release();
+                receiver->detach();
                 onNotSent(unreachable(address, exception));
             });
         m_tasks.add(ended.exclusiveJoin(receiver->gone()).attach(kj::mv(receiver)));
--- a/transport/rpcanswer.cpp
+++ b/transport/rpcanswer.cpp
@@ -23,9 +23,9 @@
 class SinkServer final : public Wire::AnswerSink::Server
 {
 public:
-    SinkServer(std::shared_ptr<LiveCalls<AnswerReceiver>> receivers, std::uint64_t number)
+    SinkServer(std::shared_ptr<LiveCalls<AnswerReceiver>> receivers, std::uint64_t callId)
         : m_receivers(std::move(receivers))
-        , m_number(number)
+        , m_callId(callId)
     {
     }
 
@@ -57,7 +57,7 @@
 
     AnswerReceiver &receiver()
     {
-        AnswerReceiver *found = m_receivers->find(m_number);
+        AnswerReceiver *found = m_receivers->find(m_callId);
         if (found == nullptr) {
             failRpc("the caller has gone");
         }
@@ -65,7 +65,7 @@
     }
 
     std::shared_ptr<LiveCalls<AnswerReceiver>> m_receivers;
-    std::uint64_t m_number;
+    std::uint64_t m_callId;
 };
 
 } // namespace
@@ -87,17 +87,17 @@
     return headers;
 }
 
-RpcExchange::RpcExchange(std::shared_ptr<RpcLoop> loop, std::shared_ptr<LiveCalls<AnswerSender>> senders, std::uint64_t number)
+RpcExchange::RpcExchange(std::shared_ptr<RpcLoop> loop, std::shared_ptr<LiveCalls<AnswerSender>> senders, std::uint64_t callId)
     : m_loop(std::move(loop))
     , m_senders(std::move(senders))
-    , m_number(number)
+    , m_callId(callId)
 {
 }
 
 void RpcExchange::post(std::function<void(AnswerSender &)> task)
 {
-    m_loop->post([senders = m_senders, number = m_number, task = std::move(task)] {
-        AnswerSender *sender = senders->find(number);
+    m_loop->post([senders = m_senders, callId = m_callId, task = std::move(task)] {
+        AnswerSender *sender = senders->find(callId);
         if (sender != nullptr) {
             task(*sender);
         }
@@ -238,19 +238,19 @@
     const std::shared_ptr<RpcLoop> &loop, std::shared_ptr<LiveCalls<AnswerSender>> senders, Wire::AnswerSink::Client sink, Duration timeout)
     : m_timer(loop->timer())
     , m_senders(std::move(senders))
-    , m_number(++m_senders->last)
+    , m_callId(++m_senders->lastId)
     , m_sink(kj::mv(sink))
     , m_timeout(timeout)
-    , m_exchange(std::make_shared<RpcExchange>(loop, m_senders, m_number))
-    , m_whole(kj::newPromiseAndFulfiller<void>())
+    , m_exchange(std::make_shared<RpcExchange>(loop, m_senders, m_callId))
+    , m_completion(kj::newPromiseAndFulfiller<void>())
     , m_tasks(*this)
 {
-    m_senders->byNumber[m_number] = this;
+    m_senders->byId[m_callId] = this;
 }
 
 AnswerSender::~AnswerSender()
 {
-    m_senders->byNumber.erase(m_number);
+    m_senders->byId.erase(m_callId);
     m_exchange->close();
 }
 
@@ -259,9 +259,9 @@
     return m_exchange;
 }
 
-kj::Promise<void> AnswerSender::whole()
+kj::Promise<void> AnswerSender::completion()
 {
-    return kj::mv(m_whole.promise);
+    return kj::mv(m_completion.promise);
 }
 
 void AnswerSender::add(kj::Promise<void> promise)
@@ -271,7 +271,7 @@
 
 void AnswerSender::taskFailed(kj::Exception &&exception)
 {
-    m_whole.fulfiller->reject(kj::mv(exception));
+    m_completion.fulfiller->reject(kj::mv(exception));
 }
 
 void AnswerSender::respond(int status, const HttpHeaders &headers, const std::string &body)
@@ -280,7 +280,7 @@
     request.setStatus(static_cast<std::uint16_t>(status));
     writeHeaders(request.initHeaders(static_cast<unsigned int>(headers.size())), headers);
     request.setBody(bytesOf(body));
-    add(request.send().ignoreResult().then([this] { m_whole.fulfiller->fulfill(); }));
+    add(request.send().ignoreResult().then([this] { m_completion.fulfiller->fulfill(); }));
 }
 
 void AnswerSender::begin(int status, const HttpHeaders &headers)
@@ -306,20 +306,20 @@
 {
     flush();
     auto sent = isAborted ? m_sink.abortRequest().send().ignoreResult() : m_sink.finishRequest().send().ignoreResult();
-    add(sent.then([this] { m_whole.fulfiller->fulfill(); }));
+    add(sent.then([this] { m_completion.fulfiller->fulfill(); }));
 }
 
 AnswerReceiver::AnswerReceiver(
     const std::shared_ptr<RpcLoop> &loop, std::shared_ptr<LiveCalls<AnswerReceiver>> receivers, std::shared_ptr<HttpExchange> exchange)
     : m_receivers(std::move(receivers))
-    , m_number(++m_receivers->last)
+    , m_callId(++m_receivers->lastId)
     , m_exchange(std::move(exchange))
     , m_goneSignal(kj::newPromiseAndFulfiller<void>())
 {
-    m_receivers->byNumber[m_number] = this;
-    const auto post = [loop, all = m_receivers, number = m_number](void (AnswerReceiver::*method)()) {
-        loop->post([all, number, method] {
-            AnswerReceiver *receiver = all->find(number);
+    m_receivers->byId[m_callId] = this;
+    const auto post = [loop, all = m_receivers, callId = m_callId](void (AnswerReceiver::*method)()) {
+        loop->post([all, callId, method] {
+            AnswerReceiver *receiver = all->find(callId);
             if (receiver != nullptr) {
                 (receiver->*method)();
             }
@@ -331,15 +331,15 @@
 
 AnswerReceiver::~AnswerReceiver()
 {
-    m_receivers->byNumber.erase(m_number);
+    m_receivers->byId.erase(m_callId);
     if (!m_isEnded) {
-        lose("this node is shutting down");
+        failOwnerLost("this node is shutting down");
     }
 }
 
 Wire::AnswerSink::Client AnswerReceiver::sink()
 {
-    return kj::heap<SinkServer>(m_receivers, m_number);
+    return kj::heap<SinkServer>(m_receivers, m_callId);
 }
 
 kj::Promise<void> AnswerReceiver::gone()
@@ -400,7 +400,7 @@
     }
 }
 
-void AnswerReceiver::lose(const std::string &why)
+void AnswerReceiver::failOwnerLost(const std::string &why)
 {
     if (std::exchange(m_isEnded, true)) {
         return;
@@ -418,7 +418,7 @@
         errorAnswer(ErrorKind::StreamCut).httpStatus, { { "Content-Type", "application/json" } }, errorBody(ErrorKind::StreamCut, details));
 }
 
-void AnswerReceiver::release()
+void AnswerReceiver::detach()
 {
     m_isEnded = true;
     m_exchange->onDrained([] {});
--- a/transport/rpcanswer.h
+++ b/transport/rpcanswer.h
@@ -23,13 +23,13 @@
 template<typename T>
 struct LiveCalls
 {
-    std::uint64_t last = 0;
-    absl::flat_hash_map<std::uint64_t, T *> byNumber;
+    std::uint64_t lastId = 0;
+    absl::flat_hash_map<std::uint64_t, T *> byId;
 
-    T *find(std::uint64_t number) const
+    T *find(std::uint64_t callId) const
     {
-        const auto at = byNumber.find(number);
-        return at == byNumber.end() ? nullptr : at->second;
+        const auto at = byId.find(callId);
+        return at == byId.end() ? nullptr : at->second;
     }
 };
 
@@ -44,7 +44,7 @@
 public:
     static constexpr std::size_t WindowBytes = 256U << 10U;
 
-    RpcExchange(std::shared_ptr<RpcLoop> loop, std::shared_ptr<LiveCalls<AnswerSender>> senders, std::uint64_t number);
+    RpcExchange(std::shared_ptr<RpcLoop> loop, std::shared_ptr<LiveCalls<AnswerSender>> senders, std::uint64_t callId);
 
     void respond(int status, const HttpHeaders &headers, std::string body) override;
     void beginStream(int status, const HttpHeaders &headers) override;
@@ -65,7 +65,7 @@
 
     const std::shared_ptr<RpcLoop> m_loop;
     const std::shared_ptr<LiveCalls<AnswerSender>> m_senders;
-    const std::uint64_t m_number;
+    const std::uint64_t m_callId;
     absl::Mutex m_mutex;
     bool m_hasAnswer ABSL_GUARDED_BY(m_mutex) = false;
     bool m_isEnded ABSL_GUARDED_BY(m_mutex) = false;
@@ -88,7 +88,7 @@
 
     const std::shared_ptr<RpcExchange> &exchange() const;
     /** Resolves when the answer is whole at the other node; rejected when that node takes nothing for the timeout. Once. */
-    kj::Promise<void> whole();
+    kj::Promise<void> completion();
 
     void respond(int status, const HttpHeaders &headers, const std::string &body);
     void begin(int status, const HttpHeaders &headers);
@@ -101,11 +101,11 @@
 
     kj::Timer &m_timer;
     std::shared_ptr<LiveCalls<AnswerSender>> m_senders;
-    std::uint64_t m_number;
+    std::uint64_t m_callId;
     Wire::AnswerSink::Client m_sink;
     Duration m_timeout;
     std::shared_ptr<RpcExchange> m_exchange;
-    kj::PromiseFulfillerPair<void> m_whole;
+    kj::PromiseFulfillerPair<void> m_completion;
     kj::TaskSet m_tasks;
 };
 
@@ -128,15 +128,15 @@
     kj::Promise<void> write(capnp::Data::Reader data);
     void end(bool isAborted);
     /** The owner was lost: the caller must not take what came so far for a whole answer. */
-    void lose(const std::string &why);
+    void failOwnerLost(const std::string &why);
     /** Nothing left: whoever forwards answers. */
-    void release();
+    void detach();
     void drained();
     void callerGone();
 
 private:
     std::shared_ptr<LiveCalls<AnswerReceiver>> m_receivers;
-    std::uint64_t m_number;
+    std::uint64_t m_callId;
     std::shared_ptr<HttpExchange> m_exchange;
     bool m_hasBegun = false;
     bool m_isEnded = false;
--- a/transport/rpcserver.cpp
+++ b/transport/rpcserver.cpp
@@ -91,7 +91,7 @@
         const auto params = context.getParams();
         auto sender = kj::heap<AnswerSender>(m_loop, m_senders, params.getAnswer(), m_settings.writeTimeout);
         const std::shared_ptr<RpcExchange> exchange = sender->exchange();
-        auto whole = sender->whole();
+        auto completion = sender->completion();
         const int hops = params.getRequest().getHops();
         HttpRequest request = readRequest(params.getRequest());
         context.releaseParams();
@@ -105,7 +105,7 @@
             exchange->respond(errorAnswer(ErrorKind::NotReady).httpStatus, { { "Content-Type", "application/json" } },
                 errorBody(ErrorKind::NotReady, {}));
         }
-        return whole.attach(kj::mv(sender), kj::mv(end));
+        return completion.attach(kj::mv(sender), kj::mv(end));
     }
 
     std::shared_ptr<RpcLoop> m_loop;
