--- a/transport/connectionwatch.cpp
+++ b/transport/connectionwatch.cpp
@@ -25,7 +25,7 @@
 void ConnectionWatch::opened(int socket, bool isPlain)
 {
     const absl::MutexLock lock(&m_mutex);
-    m_connections[socket] = Watched { m_clock.now(), false, isPlain };
+    m_connections[socket] = WatchedConnection { m_clock.now(), false, isPlain };
 }
 
 void ConnectionWatch::closed(int socket)
@@ -34,7 +34,7 @@
     m_connections.erase(socket);
 }
 
-bool ConnectionWatch::serving(int socket)
+bool ConnectionWatch::requestArrived(int socket)
 {
     const absl::MutexLock lock(&m_mutex);
     const auto at = m_connections.find(socket);
@@ -45,7 +45,7 @@
     return !at->second.isEnded;
 }
 
-void ConnectionWatch::served(int socket)
+void ConnectionWatch::requestCompleted(int socket)
 {
     const absl::MutexLock lock(&m_mutex);
     const auto at = m_connections.find(socket);
--- a/transport/connectionwatch.h
+++ b/transport/connectionwatch.h
@@ -24,16 +24,16 @@
     void opened(int socket, bool isPlain);
     void closed(int socket);
     /**
-     * A whole request has arrived: no limit until served(). False when the connection has been ended already; the request must not run
-     * then, since its caller was told that it did not.
+     * A whole request has arrived: no limit until requestCompleted(). False when the connection has been ended already; the request must
+     * not run then, since its caller was told that it did not.
      */
-    bool serving(int socket);
-    void served(int socket);
+    bool requestArrived(int socket);
+    void requestCompleted(int socket);
     /** Ends the overdue ones: with a 408 where nothing is encrypted, and by shutting down the socket. */
     void closeOverdue();
 
 private:
-    struct Watched
+    struct WatchedConnection
     {
         Time since;
         bool isServing = false;
@@ -45,7 +45,7 @@
     const Duration m_limit;
     absl::Mutex m_mutex;
     // A socket stays valid while it is listed: MHD calls closed() before it closes it.
-    absl::flat_hash_map<int, Watched> m_connections ABSL_GUARDED_BY(m_mutex);
+    absl::flat_hash_map<int, WatchedConnection> m_connections ABSL_GUARDED_BY(m_mutex);
 };
 
 } // namespace ApricotStep
--- a/transport/curlevents.cpp
+++ b/transport/curlevents.cpp
@@ -14,7 +14,7 @@
 {
 
 // More are found at the next round.
-constexpr int EventsAtOnce = 64;
+constexpr int MaxEventsPerRound = 64;
 
 std::uint32_t eventsOf(int what)
 {
@@ -93,8 +93,8 @@
 
 void CurlEvents::runReady()
 {
-    std::array<epoll_event, EventsAtOnce> ready;
-    const int count = epoll_wait(m_epoll, ready.data(), EventsAtOnce, 0);
+    std::array<epoll_event, MaxEventsPerRound> ready;
+    const int count = epoll_wait(m_epoll, ready.data(), MaxEventsPerRound, 0);
     for (int i = 0; i < count; ++i) {
         const epoll_event &event = ready[static_cast<std::size_t>(i)];
         int running = 0;
--- a/transport/httpclient.cpp
+++ b/transport/httpclient.cpp
@@ -41,7 +41,7 @@
     CURL *easy = nullptr;
     curl_slist *headerList = nullptr;
     bool isSent = false;
-    bool isHeadDone = false;
+    bool isHeadReported = false;
     bool isHeadChecked = false;
     bool isPausePending = false;
     std::vector<std::pair<std::string, std::string>> answerHeaders;
@@ -59,10 +59,10 @@
     return static_cast<int>(status);
 }
 
-void announceHead(Transfer &transfer)
+void reportHead(Transfer &transfer)
 {
-    if (!transfer.isHeadDone) {
-        transfer.isHeadDone = true;
+    if (!transfer.isHeadReported) {
+        transfer.isHeadReported = true;
         if (transfer.call.onHead) {
             transfer.call.onHead(statusOf(transfer.easy), transfer.answerHeaders);
         }
@@ -108,7 +108,7 @@
         transfer.isPausePending = false;
         return CURL_WRITEFUNC_PAUSE;
     }
-    announceHead(transfer);
+    reportHead(transfer);
     if (transfer.call.onData && !transfer.call.onData(std::string_view(data, count))) {
         transfer.isPausePending = true;
     }
@@ -179,15 +179,15 @@
     bool areEventsReady = false;
 
     void post(Command command);
-    void work();
+    void processEvents();
     bool hasCommands();
     void run();
-    void carryOut(Command command);
+    void execute(Command command);
     void begin(std::unique_ptr<Transfer> transfer);
     static void suppressDefaults(Transfer &transfer);
     void prepare(Transfer &transfer);
     void end(Transfer &transfer, const CallResult &result);
-    void collectDone();
+    void finishCompleted();
 };
 
 void HttpClient::Private::post(Command command)
@@ -207,7 +207,7 @@
     return !commands.empty();
 }
 
-void HttpClient::Private::work()
+void HttpClient::Private::processEvents()
 {
     do {
         std::deque<Command> batch;
@@ -216,7 +216,7 @@
             batch.swap(commands);
         }
         for (Command &command : batch) {
-            carryOut(std::move(command));
+            execute(std::move(command));
         }
         if (events != nullptr) {
             if (std::exchange(areEventsReady, false)) {
@@ -227,14 +227,14 @@
             int running = 0;
             curl_multi_perform(multi, &running);
         }
-        collectDone();
+        finishCompleted();
     } while (hasCommands());
 }
 
 void HttpClient::Private::run()
 {
     while (!isStopping) {
-        work();
+        processEvents();
         curl_multi_poll(multi, nullptr, 0, PollMilliseconds, nullptr);
     }
     {
@@ -252,7 +252,7 @@
     }
 }
 
-void HttpClient::Private::carryOut(Command command)
+void HttpClient::Private::execute(Command command)
 {
     if (command.kind == Command::Kind::Start) {
         begin(std::move(command.transfer));
@@ -371,13 +371,13 @@
         curl_multi_remove_handle(multi, transfer.easy);
         idleHandles.push_back(transfer.easy);
     }
-    const auto held = std::move(transfers.extract(transfer.id).mapped());
-    if (held->call.onDone) {
-        held->call.onDone(result);
+    const auto finished = std::move(transfers.extract(transfer.id).mapped());
+    if (finished->call.onDone) {
+        finished->call.onDone(result);
     }
 }
 
-void HttpClient::Private::collectDone()
+void HttpClient::Private::finishCompleted()
 {
     int left = 0;
     while (CURLMsg *message = curl_multi_info_read(multi, &left)) {
@@ -391,7 +391,7 @@
         CallResult result;
         result.status = statusOf(transfer.easy);
         if (code == CURLE_OK) {
-            announceHead(transfer);
+            reportHead(transfer);
             result.state = AttemptState::Answered;
         } else {
             result.state = transfer.isSent ? AttemptState::Sent : AttemptState::NotSent;
@@ -454,20 +454,20 @@
 
 std::vector<bool> HttpClient::step(const std::vector<int> &descriptors, Duration wait)
 {
-    d->work();
-    std::vector<pollfd> waits;
-    waits.reserve(descriptors.size() + 1);
+    d->processEvents();
+    std::vector<pollfd> pollDescriptors;
+    pollDescriptors.reserve(descriptors.size() + 1);
     for (const int descriptor : descriptors) {
-        waits.push_back(pollfd { descriptor, POLLIN, 0 });
+        pollDescriptors.push_back(pollfd { descriptor, POLLIN, 0 });
     }
-    waits.push_back(pollfd { d->events->descriptor(), POLLIN, 0 });
-    poll(waits.data(), waits.size(), static_cast<int>(d->events->untilTimeout(wait).milliseconds()));
+    pollDescriptors.push_back(pollfd { d->events->descriptor(), POLLIN, 0 });
+    poll(pollDescriptors.data(), pollDescriptors.size(), static_cast<int>(d->events->untilTimeout(wait).milliseconds()));
     // Answers are read at the next step, once the caller knows the time of this one.
-    d->areEventsReady = waits.back().revents != 0;
+    d->areEventsReady = pollDescriptors.back().revents != 0;
     std::vector<bool> areReady;
     areReady.reserve(descriptors.size());
     for (std::size_t i = 0; i < descriptors.size(); ++i) {
-        areReady.push_back(waits[i].revents != 0);
+        areReady.push_back(pollDescriptors[i].revents != 0);
     }
     return areReady;
 }
--- a/transport/httpserver.cpp
+++ b/transport/httpserver.cpp
@@ -29,7 +29,7 @@
     R"({"error":{"message":"The request is malformed.","type":"invalid_request_error","code":"bad_request","not_run":true,"retry":"never"}})";
 constexpr int MalformedStatus = 400;
 
-std::string peerText(MHD_Connection *connection)
+std::string peerAddress(MHD_Connection *connection)
 {
     const auto *info = MHD_get_connection_info(connection, MHD_CONNECTION_INFO_CLIENT_ADDRESS);
     char text[INET6_ADDRSTRLEN] = {};
@@ -52,12 +52,12 @@
     std::atomic<bool> isStopping { false };
     SystemClock clock;
     std::unique_ptr<ConnectionWatch> watch;
-    std::thread goneChecker;
+    std::thread connectionChecker;
     absl::Mutex mutex;
     absl::flat_hash_set<std::shared_ptr<MhdExchange>> exchanges ABSL_GUARDED_BY(mutex);
 
     void checkConnections();
-    void checkRegularly();
+    void checkConnectionsLoop();
     MHD_Result onAccess(MHD_Connection *connection, const char *url, const char *method, const char *data, std::size_t *size, void **state);
     void onCompleted(MHD_Connection *connection, void **state, MHD_RequestTerminationCode code);
     void onConnection(MHD_Connection *connection, void **socketContext, MHD_ConnectionNotificationCode code);
@@ -143,7 +143,7 @@
     if (request.method.empty()) {
         request.method = method;
         request.path = url;
-        request.peer = peerText(connection);
+        request.peer = peerAddress(connection);
         MHD_get_connection_values(connection, MHD_HEADER_KIND, addHeader, &request);
         MHD_get_connection_values(connection, MHD_GET_ARGUMENT_KIND, addParameter, &request);
         active.fetch_add(1);
@@ -169,7 +169,7 @@
     }
     if (!exchange->isHandled) {
         exchange->isHandled = true;
-        if (!watch->serving(socketOf(connection))) {
+        if (!watch->requestArrived(socketOf(connection))) {
             return MHD_NO;
         }
         if (exchange->isTooLarge) {
@@ -183,7 +183,7 @@
 
 void HttpServer::Private::onCompleted(MHD_Connection *connection, void **state, MHD_RequestTerminationCode code)
 {
-    watch->served(socketOf(connection));
+    watch->requestCompleted(socketOf(connection));
     auto *held = static_cast<std::shared_ptr<MhdExchange> *>(*state);
     if (held == nullptr) {
         return;
@@ -207,12 +207,12 @@
         current.assign(exchanges.begin(), exchanges.end());
     }
     for (const auto &exchange : current) {
-        exchange->checkGone();
+        exchange->checkCallerGone();
     }
     watch->closeOverdue();
 }
 
-void HttpServer::Private::checkRegularly()
+void HttpServer::Private::checkConnectionsLoop()
 {
     while (!isStopping) {
         std::this_thread::sleep_for(std::chrono::milliseconds(GoneCheckInterval.milliseconds()));
@@ -300,7 +300,7 @@
         return Error { ErrorKind::SettingsInvalid, "cannot listen on " + settings.address + ":" + std::to_string(settings.port) };
     }
     if (!settings.isDriven) {
-        d->goneChecker = std::thread([d] { d->checkRegularly(); });
+        d->connectionChecker = std::thread([d] { d->checkConnectionsLoop(); });
     }
     return server;
 }
@@ -308,8 +308,8 @@
 HttpServer::~HttpServer()
 {
     d->isStopping = true;
-    if (d->goneChecker.joinable()) {
-        d->goneChecker.join();
+    if (d->connectionChecker.joinable()) {
+        d->connectionChecker.join();
     }
     if (d->daemon == nullptr) {
         return;
--- a/transport/ioloop.cpp
+++ b/transport/ioloop.cpp
@@ -14,10 +14,10 @@
 {
 
 // A signal that arrives between two waits is seen within this time.
-constexpr Duration LongestWait { 100 };
+constexpr Duration MaxWait { 100 };
 // Datagrams wait this long for others to be read together with them. In a fleet of 134 nodes each hears some 400 a second; woken by each, a
 // node with a twelfth of a core spends more on waking than on what they say, and a request for an adapter takes 250 ms anyway.
-constexpr Duration DatagramPause { 8 };
+constexpr Duration DatagramBatchDelay { 8 };
 
 struct Socket
 {
@@ -37,7 +37,7 @@
     Time datagramsReadAt;
     // By the moment, then in the order in which they were set.
     absl::btree_map<std::pair<Time, TimerId>, std::function<void()>> timers;
-    absl::btree_map<TimerId, Time> moments;
+    absl::btree_map<TimerId, Time> dueTimes;
     TimerId lastTimer = 0;
     std::atomic<bool> isStopping { false };
 
@@ -49,16 +49,16 @@
     Duration untilNextTimer() const
     {
         if (timers.empty()) {
-            return LongestWait;
+            return MaxWait;
         }
-        return std::clamp(timers.begin()->first.first - now, Duration(0), LongestWait);
+        return std::clamp(timers.begin()->first.first - now, Duration(0), MaxWait);
     }
 
     void callDueTimers()
     {
         while (!timers.empty() && timers.begin()->first.first <= now) {
             const auto function = std::move(timers.begin()->second);
-            moments.erase(timers.begin()->first.second);
+            dueTimes.erase(timers.begin()->first.second);
             timers.erase(timers.begin());
             function();
         }
@@ -125,16 +125,16 @@
     const TimerId id = ++d->lastTimer;
     const Time at = d->now + wait;
     d->timers.emplace(std::pair(at, id), std::move(function));
-    d->moments.emplace(id, at);
+    d->dueTimes.emplace(id, at);
     return id;
 }
 
 void IoLoop::cancel(TimerId id)
 {
-    const auto at = d->moments.find(id);
-    if (at != d->moments.end()) {
+    const auto at = d->dueTimes.find(id);
+    if (at != d->dueTimes.end()) {
         d->timers.erase(std::pair(at->second, id));
-        d->moments.erase(at);
+        d->dueTimes.erase(at);
     }
 }
 
@@ -146,15 +146,15 @@
         for (const HttpServer *server : d->servers) {
             descriptors.push_back(server->pollDescriptor());
         }
-        const Duration pause = d->datagramsReadAt + DatagramPause - d->now;
-        const bool areDatagramsDue = pause <= Duration(0);
+        const Duration untilDatagramRead = d->datagramsReadAt + DatagramBatchDelay - d->now;
+        const bool areDatagramsDue = untilDatagramRead <= Duration(0);
         if (areDatagramsDue) {
             for (const Socket &entry : d->sockets) {
                 descriptors.push_back(entry.socket->descriptor());
             }
         }
         Duration wait = d->haveServersWork() ? Duration(0) : d->untilNextTimer();
-        wait = areDatagramsDue || d->sockets.empty() ? wait : std::min(wait, pause);
+        wait = areDatagramsDue || d->sockets.empty() ? wait : std::min(wait, untilDatagramRead);
         const std::vector<bool> areReady = d->client.step(descriptors, wait);
         d->now = d->clock.now();
         d->stepServers(areReady);
--- a/transport/mhdexchange.cpp
+++ b/transport/mhdexchange.cpp
@@ -142,7 +142,7 @@
 }
 
 // MHD does not watch a suspended connection, so a caller that left would hold its place in the queue until it was served.
-void MhdExchange::checkGone()
+void MhdExchange::checkCallerGone()
 {
     std::function<void()> gone;
     {
@@ -186,7 +186,7 @@
                 drained = m_drained;
             }
             if (count == 0) {
-                result = nothingToReadLocked();
+                result = emptyBufferResultLocked();
             }
         }
     }
@@ -196,7 +196,7 @@
     return result;
 }
 
-ssize_t MhdExchange::nothingToReadLocked()
+ssize_t MhdExchange::emptyBufferResultLocked()
 {
     if (m_isAborted) {
         return MHD_CONTENT_READER_END_WITH_ERROR;
--- a/transport/mhdexchange.h
+++ b/transport/mhdexchange.h
@@ -41,12 +41,12 @@
     /** The request is over; @p isWhole tells whether the caller got everything. */
     void close(bool isWhole);
     /** Notices a caller that left while its connection is suspended; called now and then. */
-    void checkGone();
+    void checkCallerGone();
 
 private:
     static ssize_t read(void *context, std::uint64_t position, char *out, std::size_t max);
     ssize_t readSome(char *out, std::size_t max);
-    ssize_t nothingToReadLocked() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    ssize_t emptyBufferResultLocked() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     void suspendLocked() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     void resumeLocked() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
 
--- a/transport/udpsocket.cpp
+++ b/transport/udpsocket.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::size_t MaxDatagramBytes = 16U << 10U;
 // A thread that reads on without end under a flood would never see that it is to stop.
-constexpr int MaxReadsInARow = 256;
+constexpr int MaxReadsPerRound = 256;
 
 bool parseAddress(const std::string &text, sockaddr_in &address)
 {
@@ -68,7 +68,7 @@
 void UdpSocket::Private::readAll(const Handler &to) const
 {
     std::array<char, MaxDatagramBytes> buffer; // Not zeroed: it is larger than most datagrams by far.
-    for (int i = 0; i < MaxReadsInARow; ++i) {
+    for (int i = 0; i < MaxReadsPerRound; ++i) {
         sockaddr_in from {};
         socklen_t length = sizeof from;
         const ssize_t count = recvfrom(socket, buffer.data(), buffer.size(), 0, reinterpret_cast<sockaddr *>(&from), &length);
@@ -81,10 +81,10 @@
 
 void UdpSocket::Private::run()
 {
-    std::array<pollfd, 2> waits { pollfd { socket, POLLIN, 0 }, pollfd { wake, POLLIN, 0 } };
+    std::array<pollfd, 2> pollDescriptors { pollfd { socket, POLLIN, 0 }, pollfd { wake, POLLIN, 0 } };
     for (;;) {
-        poll(waits.data(), waits.size(), -1);
-        if ((waits[1].revents & POLLIN) != 0) {
+        poll(pollDescriptors.data(), pollDescriptors.size(), -1);
+        if ((pollDescriptors[1].revents & POLLIN) != 0) {
             return;
         }
         readAll(handler);
