--- a/tests/proxy/tcpproxy.cpp
+++ b/tests/proxy/tcpproxy.cpp
@@ -21,7 +21,7 @@
 
 constexpr int PollMs = 20;
 constexpr std::size_t PartBytes = 16384;
-constexpr int DripStepMs = 50;
+constexpr int ThrottleStepMs = 50;
 
 sockaddr_in addressOf(const std::string &ip, std::uint16_t port)
 {
@@ -40,24 +40,24 @@
 // Both sockets of one connection; closed when the last of its two threads is done with it.
 struct Connection
 {
-    int near = -1;
-    int far = -1;
+    int callerSocket = -1;
+    int targetSocket = -1;
     std::string from;
     std::atomic<bool> isOver { false };
 
     ~Connection()
     {
-        close(near);
-        if (far >= 0) {
-            close(far);
+        close(callerSocket);
+        if (targetSocket >= 0) {
+            close(targetSocket);
         }
     }
     void reset()
     {
-        const linger hard { 1, 0 };
-        setsockopt(near, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
-        if (far >= 0) {
-            setsockopt(far, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+        const linger resetOnClose { 1, 0 };
+        setsockopt(callerSocket, SOL_SOCKET, SO_LINGER, &resetOnClose, sizeof resetOnClose);
+        if (targetSocket >= 0) {
+            setsockopt(targetSocket, SOL_SOCKET, SO_LINGER, &resetOnClose, sizeof resetOnClose);
         }
         isOver = true;
     }
@@ -117,29 +117,29 @@
     }
 }
 
-void TcpProxy::Private::open(int near, std::uint16_t peerPort)
+void TcpProxy::Private::open(int callerSocket, std::uint16_t peerPort)
 {
     auto connection = std::make_shared<Connection>();
-    connection->near = near;
+    connection->callerSocket = callerSocket;
     connection->from = peerName ? peerName(peerPort) : "";
     if (faults.isReset) {
         connection->reset();
         return;
     }
     const int one = 1;
-    setsockopt(near, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
+    setsockopt(callerSocket, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
     if (!faults.isHalfOpen && !isBlocked(*connection)) {
-        connection->far = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+        connection->targetSocket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
         const sockaddr_in target = addressOf(targetIp, targetPort);
-        if (connect(connection->far, reinterpret_cast<const sockaddr *>(&target), sizeof target) != 0) {
+        if (connect(connection->targetSocket, reinterpret_cast<const sockaddr *>(&target), sizeof target) != 0) {
             connection->reset();
             return;
         }
-        setsockopt(connection->far, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
+        setsockopt(connection->targetSocket, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
     }
     const std::lock_guard lock(mutex);
     pumps.emplace_back([this, connection] { pump(connection, false); });
-    if (connection->far >= 0) {
+    if (connection->targetSocket >= 0) {
         pumps.emplace_back([this, connection] { pump(connection, true); });
     }
 }
@@ -148,11 +148,11 @@
 {
     std::size_t sent = 0;
     while (sent < size && !connection.isOver && !isStopping) {
-        const int drip = faults.maxBytesPerSecond;
+        const int bytesPerSecond = faults.maxBytesPerSecond;
         std::size_t count = size - sent;
-        if (drip > 0) {
-            sleepMs(DripStepMs);
-            count = std::min(count, std::max<std::size_t>(1, static_cast<std::size_t>(drip) * DripStepMs / 1000));
+        if (bytesPerSecond > 0) {
+            sleepMs(ThrottleStepMs);
+            count = std::min(count, std::max<std::size_t>(1, static_cast<std::size_t>(bytesPerSecond) * ThrottleStepMs / 1000));
         }
         const ssize_t done = send(to, data + sent, count, MSG_NOSIGNAL | MSG_DONTWAIT);
         if (done < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
@@ -169,8 +169,8 @@
 
 void TcpProxy::Private::pump(const std::shared_ptr<Connection> &connection, bool isAnswer)
 {
-    const int from = isAnswer ? connection->far : connection->near;
-    const int to = isAnswer ? connection->near : connection->far;
+    const int from = isAnswer ? connection->targetSocket : connection->callerSocket;
+    const int to = isAnswer ? connection->callerSocket : connection->targetSocket;
     const auto &cutAfter = isAnswer ? faults.cutAnswerAfter : faults.cutRequestAfter;
     std::int64_t passed = 0;
     std::vector<char> part(PartBytes);
--- a/tests/proxy/udpproxy.cpp
+++ b/tests/proxy/udpproxy.cpp
@@ -24,7 +24,7 @@
 
 using SteadyTime = std::chrono::steady_clock::time_point;
 
-struct Held
+struct PendingDatagram
 {
     int socket = -1;
     sockaddr_in to {};
@@ -60,15 +60,15 @@
     int listener = -1;
     std::atomic<bool> isStopping { false };
     std::thread thread;
-    std::multimap<SteadyTime, Held> held;
+    std::multimap<SteadyTime, PendingDatagram> pending;
     // One socket towards the target for each sender, so that its answers find their way back.
     std::map<std::pair<std::uint32_t, std::uint16_t>, int> relays;
     std::map<int, sockaddr_in> senders;
 
     void loop();
     int relayFor(const sockaddr_in &sender);
-    void takeFromSender();
-    void takeFromTarget(int relay);
+    void receiveFromSender();
+    void receiveFromTarget(int relay);
     void pass(int socket, const sockaddr_in &to, std::string data, const std::string &from, const std::string &toName);
     void sendDue();
     bool chance(int percent)
@@ -95,11 +95,11 @@
     const int copies = chance(faults.duplicatePercent) ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
         const int delay = faults.delayMs + (chance(faults.reorderPercent) ? ReorderHoldMs : 0);
-        held.emplace(std::chrono::steady_clock::now() + std::chrono::milliseconds(delay), Held { socket, to, data });
+        pending.emplace(std::chrono::steady_clock::now() + std::chrono::milliseconds(delay), PendingDatagram { socket, to, data });
     }
 }
 
-void UdpProxy::Private::takeFromSender()
+void UdpProxy::Private::receiveFromSender()
 {
     std::vector<char> data(DatagramBytes);
     sockaddr_in sender {};
@@ -110,7 +110,7 @@
     }
 }
 
-void UdpProxy::Private::takeFromTarget(int relay)
+void UdpProxy::Private::receiveFromTarget(int relay)
 {
     std::vector<char> data(DatagramBytes);
     const ssize_t count = recv(relay, data.data(), data.size(), MSG_DONTWAIT);
@@ -123,11 +123,11 @@
 void UdpProxy::Private::sendDue()
 {
     const auto now = std::chrono::steady_clock::now();
-    while (!held.empty() && held.begin()->first <= now) {
-        const Held &first = held.begin()->second;
+    while (!pending.empty() && pending.begin()->first <= now) {
+        const PendingDatagram &first = pending.begin()->second;
         sendto(first.socket, first.data.data(), first.data.size(), MSG_DONTWAIT, reinterpret_cast<const sockaddr *>(&first.to),
             sizeof first.to);
-        held.erase(held.begin());
+        pending.erase(pending.begin());
     }
 }
 
@@ -140,11 +140,11 @@
         }
         poll(ready.data(), ready.size(), PollMs);
         if ((ready[0].revents & POLLIN) != 0) {
-            takeFromSender();
+            receiveFromSender();
         }
         for (std::size_t i = 1; i < ready.size(); ++i) {
             if ((ready[i].revents & POLLIN) != 0) {
-                takeFromTarget(ready[i].fd);
+                receiveFromTarget(ready[i].fd);
             }
         }
         sendDue();
--- a/tests/standins/engine.cpp
+++ b/tests/standins/engine.cpp
@@ -32,7 +32,7 @@
     int tokens = 0;
     int done = 0;
     bool isStream = false;
-    bool isGone = false;
+    bool isCallerGone = false;
     std::shared_ptr<HttpExchange> exchange;
 };
 
@@ -176,11 +176,11 @@
         }
         exchange->onCallerGone([self = shared_from_this(), generation] {
             const std::lock_guard innerLock(self->m_mutex);
-            generation->isGone = true;
+            generation->isCallerGone = true;
         });
-        const auto before =
+        const auto position =
             std::find_if(m_waiting.begin(), m_waiting.end(), [&](const auto &other) { return other->priority > generation->priority; });
-        m_waiting.insert(before, generation);
+        m_waiting.insert(position, generation);
         if (!m_isStepping) {
             m_isStepping = true;
             after(m_options.tokenMs, [self = shared_from_this()] { self->step(); });
@@ -201,7 +201,7 @@
         for (const auto &generation : m_running) {
             token(*generation);
         }
-        std::erase_if(m_running, [](const auto &generation) { return generation->isGone || generation->done >= generation->tokens; });
+        std::erase_if(m_running, [](const auto &generation) { return generation->isCallerGone || generation->done >= generation->tokens; });
         m_isStepping = !m_running.empty() || !m_waiting.empty();
         if (m_isStepping) {
             after(m_options.tokenMs, [self = shared_from_this()] { self->step(); });
--- a/tests/standins/main.cpp
+++ b/tests/standins/main.cpp
@@ -27,10 +27,10 @@
         m_thread.detach();
     }
 
-    void add(int milliseconds, std::function<void()> what)
+    void add(int milliseconds, std::function<void()> callback)
     {
         const std::lock_guard lock(m_mutex);
-        m_due.emplace(std::chrono::steady_clock::now() + std::chrono::milliseconds(milliseconds), std::move(what));
+        m_due.emplace(std::chrono::steady_clock::now() + std::chrono::milliseconds(milliseconds), std::move(callback));
         m_wake.notify_one();
     }
 
@@ -48,10 +48,10 @@
                 m_wake.wait_until(lock, next);
                 continue;
             }
-            const auto what = std::move(m_due.begin()->second);
+            const auto callback = std::move(m_due.begin()->second);
             m_due.erase(m_due.begin());
             lock.unlock();
-            what();
+            callback();
             lock.lock();
         }
     }
@@ -64,10 +64,10 @@
 
 } // namespace
 
-void after(int milliseconds, std::function<void()> what)
+void after(int milliseconds, std::function<void()> callback)
 {
     static auto *timer = new Timer; // Never ends: its thread runs until the process does.
-    timer->add(milliseconds, std::move(what));
+    timer->add(milliseconds, std::move(callback));
 }
 
 void respondJson(ApricotStep::HttpExchange &exchange, int status, std::string body)
--- a/tests/standins/standin.h
+++ b/tests/standins/standin.h
@@ -46,8 +46,8 @@
 Handler makeVmList(const Options &options);
 Handler makeService(const Options &options);
 
-/** Calls @p what after @p milliseconds on a thread of its own that all calls share. */
-void after(int milliseconds, std::function<void()> what);
+/** Calls @p callback after @p milliseconds on a thread of its own that all calls share. */
+void after(int milliseconds, std::function<void()> callback);
 
 void respondJson(ApricotStep::HttpExchange &exchange, int status, std::string body);
 std::string readFile(const std::string &path);
