--- a/tests/transport/testhttp.cpp
+++ b/tests/transport/testhttp.cpp
@@ -28,27 +28,27 @@
 {
     auto answer = std::make_shared<Answer>();
     auto done = std::make_shared<absl::Notification>();
-    HttpCall what;
-    what.method = body.empty() ? "GET" : "POST";
-    what.url = "http://127.0.0.1:" + std::to_string(server.port()) + "/x?y=1";
-    what.body = body;
-    what.maySend = maySend;
-    what.onData = [answer](std::string_view data) {
+    HttpCall httpCall;
+    httpCall.method = body.empty() ? "GET" : "POST";
+    httpCall.url = "http://127.0.0.1:" + std::to_string(server.port()) + "/x?y=1";
+    httpCall.body = body;
+    httpCall.maySend = maySend;
+    httpCall.onData = [answer](std::string_view data) {
         answer->body.append(data);
         return true;
     };
-    what.onDone = [answer, done](const CallResult &result) {
+    httpCall.onDone = [answer, done](const CallResult &result) {
         answer->result = result;
         done->Notify();
     };
-    client.start(std::move(what));
+    client.start(std::move(httpCall));
     done->WaitForNotification();
     return *answer;
 }
 
 } // namespace
 
-Test(http, aRequestIsHandedOnOnceAndWhole)
+Test(http, handlerReceivesCompleteRequestOnce)
 {
     std::atomic<int> count { 0 };
     const auto server = serve([&](const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) {
@@ -60,7 +60,7 @@
     cr_assert_eq(count, 1);
 }
 
-Test(http, aBodyOverTheLimitIsRefused)
+Test(http, bodyOverLimitIsRefused)
 {
     HttpServerSettings settings;
     settings.maxBodyBytes = 10;
@@ -71,7 +71,7 @@
     cr_assert_eq(count, 0);
 }
 
-Test(http, anAbortedStreamDoesNotLookWhole)
+Test(http, abortedStreamIsReportedAsFailed)
 {
     // The engine dies in the middle of an answer. A caller whose connection ends cleanly would take half an assessment for all of it.
     const auto server = serve([](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) {
@@ -85,7 +85,7 @@
     cr_assert(answer.result.error == ErrorKind::UpstreamFailed);
 }
 
-Test(http, aStreamArrivesWholeThoughTheCallerPauses)
+Test(http, streamIsCompleteAfterPauses)
 {
     constexpr std::size_t Parts = 2000;
     const auto server = serve([](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) {
@@ -101,22 +101,22 @@
     std::size_t size = 0;
     std::atomic<CallId> id { 0 };
     absl::Notification done;
-    HttpCall what;
-    what.url = "http://127.0.0.1:" + std::to_string(server->port()) + "/";
-    what.onData = [&](std::string_view data) {
+    HttpCall httpCall;
+    httpCall.url = "http://127.0.0.1:" + std::to_string(server->port()) + "/";
+    httpCall.onData = [&](std::string_view data) {
         size += data.size();
         std::thread([&] { client.resume(id); }).join();
         return false;
     };
-    what.onDone = [&](const CallResult &) { done.Notify(); };
-    id = client.start(std::move(what));
+    httpCall.onDone = [&](const CallResult &) { done.Notify(); };
+    id = client.start(std::move(httpCall));
     while (!done.WaitForNotificationWithTimeout(absl::Milliseconds(20))) {
         client.resume(id);
     }
     cr_assert_eq(size, Parts * 1000);
 }
 
-Test(http, aCallThatMayNotBeSentIsKnownAsNotSent)
+Test(http, callStoppedByMaySendIsReportedAsNotSent)
 {
     // A node is paused between its decision and the sending, and wakes after the deadline. It must not send then.
     std::atomic<int> count { 0 };
@@ -131,7 +131,7 @@
     cr_assert_eq(count, 0);
 }
 
-Test(http, aCallerThatLeavesWhileItWaitsIsNoticed)
+Test(http, callerDisconnectWhileWaitingIsDetected)
 {
     absl::Notification gone;
     absl::Notification arrived;
@@ -140,9 +140,9 @@
         arrived.Notify();
     });
     HttpClient client;
-    HttpCall what;
-    what.url = "http://127.0.0.1:" + std::to_string(server->port()) + "/";
-    const CallId id = client.start(std::move(what));
+    HttpCall httpCall;
+    httpCall.url = "http://127.0.0.1:" + std::to_string(server->port()) + "/";
+    const CallId id = client.start(std::move(httpCall));
     arrived.WaitForNotification();
     client.cancel(id);
     cr_assert(gone.WaitForNotificationWithTimeout(absl::Seconds(20)));
--- a/tests/transport/testnoderpc.cpp
+++ b/tests/transport/testnoderpc.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-constexpr auto Patience = absl::Seconds(20);
+constexpr auto WaitTimeout = absl::Seconds(20);
 
 std::unique_ptr<NodeRpc> startRpc(const std::string &secret = "a secret of the fleet", Duration timeout = Duration(2000))
 {
@@ -43,7 +43,7 @@
         result = std::move(got);
         done.Notify();
     });
-    cr_assert(done.WaitForNotificationWithTimeout(Patience));
+    cr_assert(done.WaitForNotificationWithTimeout(WaitTimeout));
     return result;
 }
 
@@ -103,7 +103,7 @@
             drained();
         }
     }
-    void leave()
+    void disconnect()
     {
         std::function<void()> gone;
         {
@@ -115,13 +115,13 @@
     void waitForEnd()
     {
         const absl::MutexLock lock(&m_mutex);
-        cr_assert(m_mutex.AwaitWithTimeout(absl::Condition(&m_isEnded), Patience));
+        cr_assert(m_mutex.AwaitWithTimeout(absl::Condition(&m_isEnded), WaitTimeout));
     }
     bool waitForBytes(std::size_t count)
     {
         const absl::MutexLock lock(&m_mutex);
-        const auto hasThem = [&] { return m_body.size() >= count; };
-        return m_mutex.AwaitWithTimeout(absl::Condition(&hasThem), Patience);
+        const auto hasBytes = [&] { return m_body.size() >= count; };
+        return m_mutex.AwaitWithTimeout(absl::Condition(&hasBytes), WaitTimeout);
     }
     std::size_t size()
     {
@@ -155,12 +155,12 @@
     std::function<void()> m_gone;
 };
 
-void mustBeSent(const Error &error)
+void failIfNotSent(const Error &error)
 {
     cr_assert_fail("not sent: %s", error.detail.c_str());
 }
 
-HttpRequest question()
+HttpRequest sampleRequest()
 {
     HttpRequest request;
     request.method = "POST";
@@ -173,9 +173,9 @@
 }
 
 // A port that takes connections and never says anything, as a process under SIGSTOP does.
-struct SilentPort
+struct UnresponsivePort
 {
-    SilentPort()
+    UnresponsivePort()
         : socket(::socket(AF_INET, SOCK_STREAM, 0))
     {
         sockaddr_in address {};
@@ -187,7 +187,7 @@
         ::getsockname(socket, reinterpret_cast<sockaddr *>(&address), &size);
         text = "127.0.0.1:" + std::to_string(ntohs(address.sin_port));
     }
-    ~SilentPort()
+    ~UnresponsivePort()
     {
         ::close(socket);
     }
@@ -197,7 +197,7 @@
 
 } // namespace
 
-Test(noderpc, valuesAndMessagesReachThePartThatServesThem)
+Test(noderpc, valuesAndMessagesReachTheirHandlers)
 {
     const auto one = startRpc();
     const auto two = startRpc();
@@ -213,38 +213,38 @@
         cr_assert(answer.value() == "load granted");
         done.Notify();
     });
-    cr_assert(done.WaitForNotificationWithTimeout(Patience));
+    cr_assert(done.WaitForNotificationWithTimeout(WaitTimeout));
 }
 
-Test(noderpc, aPeerWithoutTheSecretGetsNothing)
+Test(noderpc, peerWithoutSecretIsRefused)
 {
     // Somebody on the network connects to the node port. Without the fleet's secret it must neither read values nor pass requests.
-    const auto stranger = startRpc("another secret");
+    const auto unauthorizedNode = startRpc("another secret");
     const auto node = startRpc();
     std::atomic<int> served { 0 };
     node->serveValue("", [&](const std::string &) -> Result<std::string> {
         ++served;
         return std::string("secret");
     });
-    cr_assert(fetch(*stranger, addressOf(*node), "x").error().kind == ErrorKind::PeerUnreachable);
+    cr_assert(fetch(*unauthorizedNode, addressOf(*node), "x").error().kind == ErrorKind::PeerUnreachable);
     cr_assert_eq(served, 0);
 }
 
-Test(noderpc, aSilentPeerDoesNotHangItsCallers)
+Test(noderpc, unresponsivePeerTimesOut)
 {
     // A peer's process is paused. Its kernel still takes connections, so that callers would wait for ever without a limit.
-    const SilentPort paused;
+    const UnresponsivePort unresponsive;
     const auto node = startRpc("a secret of the fleet", Duration(200));
-    cr_assert(fetch(*node, paused.text, "x").error().kind == ErrorKind::PeerUnreachable);
+    cr_assert(fetch(*node, unresponsive.text, "x").error().kind == ErrorKind::PeerUnreachable);
     absl::Notification refused;
-    node->forward(paused.text, question(), 1, std::make_shared<FakeCaller>(), [&](const Error &error) {
+    node->forward(unresponsive.text, sampleRequest(), 1, std::make_shared<FakeCaller>(), [&](const Error &error) {
         cr_assert(error.kind == ErrorKind::PeerUnreachable);
         refused.Notify();
     });
-    cr_assert(refused.WaitForNotificationWithTimeout(Patience));
+    cr_assert(refused.WaitForNotificationWithTimeout(WaitTimeout));
 }
 
-Test(noderpc, aPeerThatCameBackIsReachedAgain)
+Test(noderpc, restartedPeerIsReachedAgain)
 {
     const auto node = startRpc();
     auto peer = startRpc();
@@ -263,13 +263,13 @@
     cr_assert(fetch(*node, address, "x").isOk());
 }
 
-Test(noderpc, aForwardedRequestArrivesWholeAndSoDoesItsAnswer)
+Test(noderpc, forwardedRequestAndAnswerArriveComplete)
 {
     const auto front = startRpc();
     const auto owner = startRpc();
     owner->serveForwards([](const HttpRequest &request, int hops, const std::shared_ptr<HttpExchange> &exchange) {
         cr_assert_eq(hops, 1);
-        cr_assert(request.body == question().body && request.peer == "10.0.0.9" && request.header("x-priority") == "urgent");
+        cr_assert(request.body == sampleRequest().body && request.peer == "10.0.0.9" && request.header("x-priority") == "urgent");
         exchange->beginStream(200, { { "Content-Type", "text/event-stream" } });
         for (const char *part : { "one ", "two ", "three" }) {
             exchange->write(part);
@@ -277,14 +277,14 @@
         exchange->finish();
     });
     const auto caller = std::make_shared<FakeCaller>();
-    front->forward(addressOf(*owner), question(), 1, caller, mustBeSent);
+    front->forward(addressOf(*owner), sampleRequest(), 1, caller, failIfNotSent);
     caller->waitForEnd();
     cr_assert_eq(caller->status(), 200);
     cr_assert(caller->body() == "one two three");
     cr_assert_not(caller->isAborted());
 }
 
-Test(noderpc, aSlowCallerHoldsTheOwnerBack)
+Test(noderpc, slowCallerAppliesBackpressureToOwner)
 {
     // A caller on a bad line reads slowly. The answer must wait at the engine, not pile up in the memory of two nodes.
     constexpr std::size_t Whole = 8U << 20U;
@@ -309,7 +309,7 @@
     });
     const auto caller = std::make_shared<FakeCaller>();
     caller->setSlow(true);
-    front->forward(addressOf(*owner), question(), 1, caller, mustBeSent);
+    front->forward(addressOf(*owner), sampleRequest(), 1, caller, failIfNotSent);
     cr_assert(caller->waitForBytes(block.size()));
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
     cr_assert_lt(written, Bound, "the owner went on writing");
@@ -318,7 +318,7 @@
     cr_assert_eq(caller->size(), Whole);
 }
 
-Test(noderpc, aCallerThatLeavesCancelsAtTheOwner)
+Test(noderpc, callerDisconnectCancelsAtOwner)
 {
     // A manager closes the page. The engine at the other node must stop generating, or the batch fills with answers for nobody.
     const auto front = startRpc();
@@ -330,13 +330,13 @@
         arrived.Notify();
     });
     const auto caller = std::make_shared<FakeCaller>();
-    front->forward(addressOf(*owner), question(), 1, caller, mustBeSent);
-    cr_assert(arrived.WaitForNotificationWithTimeout(Patience));
-    caller->leave();
-    cr_assert(gone.WaitForNotificationWithTimeout(Patience));
+    front->forward(addressOf(*owner), sampleRequest(), 1, caller, failIfNotSent);
+    cr_assert(arrived.WaitForNotificationWithTimeout(WaitTimeout));
+    caller->disconnect();
+    cr_assert(gone.WaitForNotificationWithTimeout(WaitTimeout));
 }
 
-Test(noderpc, anOwnerLostInTheMiddleDoesNotLookWhole)
+Test(noderpc, ownerLostDuringAnswerIsReportedAsStreamCut)
 {
     // The owner's VM is replaced without warning in the middle of an answer. The caller must see that it broke off, and that the
     // request may have run.
@@ -347,7 +347,7 @@
         exchange->write("data: half\n\n");
     });
     const auto caller = std::make_shared<FakeCaller>();
-    front->forward(addressOf(*owner), question(), 1, caller, mustBeSent);
+    front->forward(addressOf(*owner), sampleRequest(), 1, caller, failIfNotSent);
     cr_assert(caller->waitForBytes(5));
     owner.reset();
     caller->waitForEnd();
@@ -355,15 +355,15 @@
     cr_assert(caller->body().find("stream_cut") != std::string::npos);
 }
 
-Test(noderpc, anOwnerLostBeforeItsAnswerMayHaveRunTheRequest)
+Test(noderpc, ownerLostBeforeAnswerIsNotReportedAsNotRun)
 {
     const auto front = startRpc();
     auto owner = startRpc();
     absl::Notification arrived;
     owner->serveForwards([&](const HttpRequest &, int, const std::shared_ptr<HttpExchange> &) { arrived.Notify(); });
     const auto caller = std::make_shared<FakeCaller>();
-    front->forward(addressOf(*owner), question(), 1, caller, mustBeSent);
-    cr_assert(arrived.WaitForNotificationWithTimeout(Patience));
+    front->forward(addressOf(*owner), sampleRequest(), 1, caller, failIfNotSent);
+    cr_assert(arrived.WaitForNotificationWithTimeout(WaitTimeout));
     owner.reset();
     caller->waitForEnd();
     cr_assert_eq(caller->status(), errorAnswer(ErrorKind::StreamCut).httpStatus);
--- a/tests/transport/testserverlimits.cpp
+++ b/tests/transport/testserverlimits.cpp
@@ -92,7 +92,7 @@
 
 } // namespace
 
-Test(serverlimits, aRequestThatNeverEndsIsEndedWithAClearError)
+Test(serverlimits, incompleteRequestTimesOutWith408)
 {
     // A sender opens connections and drips a byte now and then. Without a bound on the whole arrival it would hold them all, and real
     // callers could not connect.
@@ -100,16 +100,16 @@
     HttpServerSettings settings;
     settings.arrivalTimeout = Duration(300);
     const auto server = HttpServer::start(settings, countingHandler(count));
-    const RawConnection cutHead(server.value()->port());
-    cutHead.sendText("GET / HT");
-    const RawConnection cutBody(server.value()->port());
-    cutBody.sendText("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\n12345");
-    cr_assert(cutHead.readAll().starts_with("HTTP/1.1 408 "));
-    cr_assert(cutBody.readAll().find("\"not_run\":true") != std::string::npos);
+    const RawConnection partialHead(server.value()->port());
+    partialHead.sendText("GET / HT");
+    const RawConnection partialBody(server.value()->port());
+    partialBody.sendText("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\n12345");
+    cr_assert(partialHead.readAll().starts_with("HTTP/1.1 408 "));
+    cr_assert(partialBody.readAll().find("\"not_run\":true") != std::string::npos);
     cr_assert_eq(count, 0);
 }
 
-Test(serverlimits, aRequestThatIsServedLongerThanTheArrivalLimitIsLeftAlone)
+Test(serverlimits, arrivalTimeoutDoesNotEndSlowHandlers)
 {
     std::shared_ptr<HttpExchange> held;
     absl::Notification arrived;
@@ -127,7 +127,7 @@
     cr_assert(connection.readAll().ends_with("late but whole"));
 }
 
-Test(serverlimits, nonsenseIsRefusedAndCostsNothingElse)
+Test(serverlimits, malformedInputIsRefused)
 {
     std::atomic<int> count { 0 };
     HttpServerSettings settings;
@@ -147,7 +147,7 @@
     cr_assert(good.readAll().ends_with("ok"));
 }
 
-Test(serverlimits, tlsServesAndTakesANewCertificateWithoutAStop)
+Test(serverlimits, tlsCertificateIsReloadedWithoutRestart)
 {
     // A certificate runs out. If taking a new one needed a restart, every renewal would cut off the requests in progress.
     const auto folder = std::filesystem::temp_directory_path() / ("apricotstep-tls-" + std::to_string(getpid()));
--- a/tests/transport/testudpsocket.cpp
+++ b/tests/transport/testudpsocket.cpp
@@ -6,7 +6,7 @@
 
 using namespace ApricotStep;
 
-Test(udpsocket, aDatagramArrivesWithItsSender)
+Test(udpsocket, datagramArrivesWithSenderAddress)
 {
     auto a = UdpSocket::open("127.0.0.1", 0);
     auto b = UdpSocket::open("127.0.0.1", 0);
@@ -25,7 +25,7 @@
     cr_assert(from == "127.0.0.1:" + std::to_string(a.value()->port()));
 }
 
-Test(udpsocket, badAddressesAreRefused)
+Test(udpsocket, invalidAddressesAreRefused)
 {
     cr_assert_not(UdpSocket::open("no number", 0).isOk());
     auto socket = UdpSocket::open("127.0.0.1", 0);
