--- a/transport/connectionwatch.cpp
+++ b/transport/connectionwatch.cpp
@@ -67,7 +67,7 @@
             send(socket, TimeoutAnswer.data(), TimeoutAnswer.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
         }
         shutdown(socket, SHUT_RDWR);
-        watched.isEnded = true; // MHD closes it when it sees the end of the input.
+        watched.isEnded = true; // MHD closes the connection when it reads the end of the input.
     }
 }
 
--- a/transport/connectionwatch.h
+++ b/transport/connectionwatch.h
@@ -10,26 +10,30 @@
 {
 
 /**
- * Closes connections whose requests do not arrive whole in time. Internal to transport. Thread-safe.
+ * Closes connections whose requests do not arrive completely in time. Internal to transport. Thread-safe.
  *
- * A sender that drips a byte every few seconds never trips an idle timeout, and a few thousand of them hold every connection of the
- * node: callers then cannot connect. A bound on the whole request's arrival ends each drip after a known time.
+ * A sender that transmits one byte every few seconds never reaches an idle timeout, and a few thousand such senders use up all connections
+ * of the node, so that callers cannot connect. A limit on the arrival time of the whole request closes each of these connections after a
+ * known time.
  */
 class ConnectionWatch
 {
 public:
-    /** @p arrivalLimit: a request's first byte to its last, and also the wait for its first one. */
+    /**
+     * @p arrivalLimit: longest time from the opening of the connection, or from the end of its previous request, until the next request has
+     * arrived completely.
+     */
     ConnectionWatch(const Clock &clock, Duration arrivalLimit);
 
     void opened(int socket, bool isPlain);
     void closed(int socket);
     /**
-     * A whole request has arrived: no limit until requestCompleted(). False when the connection has been ended already; the request must
-     * not run then, since its caller was told that it did not.
+     * A complete request has arrived: no limit applies until requestCompleted(). Returns false when the connection was already closed as
+     * overdue; the request must not run then, since the caller may have received the answer that it did not.
      */
     bool requestArrived(int socket);
     void requestCompleted(int socket);
-    /** Ends the overdue ones: with a 408 where nothing is encrypted, and by shutting down the socket. */
+    /** Shuts down the sockets of overdue connections. A connection without TLS is sent a 408 answer first. */
     void closeOverdue();
 
 private:
@@ -44,7 +48,7 @@
     const Clock &m_clock;
     const Duration m_limit;
     absl::Mutex m_mutex;
-    // A socket stays valid while it is listed: MHD calls closed() before it closes it.
+    // Each listed socket is valid: MHD calls closed() before it closes the socket.
     absl::flat_hash_map<int, WatchedConnection> m_connections ABSL_GUARDED_BY(m_mutex);
 };
 
--- a/transport/curlevents.cpp
+++ b/transport/curlevents.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-// More are found at the next round.
+// Further events are read in the next round.
 constexpr int MaxEventsPerRound = 64;
 
 std::uint32_t eventsOf(int what)
@@ -29,7 +29,7 @@
     int action = 0;
     action |= (events & EPOLLIN) != 0 ? CURL_CSELECT_IN : 0;
     action |= (events & EPOLLOUT) != 0 ? CURL_CSELECT_OUT : 0;
-    // libcurl finds out by reading what went wrong, and what came before it.
+    // By reading, libcurl gets the data that arrived before the error and then the error itself.
     action |= (events & (EPOLLERR | EPOLLHUP)) != 0 ? CURL_CSELECT_IN | CURL_CSELECT_ERR : 0;
     return action;
 }
@@ -55,7 +55,7 @@
 {
     auto *events = static_cast<CurlEvents *>(self);
     if (what == CURL_POLL_REMOVE) {
-        // Fails where libcurl has closed the socket, which has left the set by that.
+        // Fails when libcurl has already closed the socket, which removed it from the epoll set.
         epoll_ctl(events->m_epoll, EPOLL_CTL_DEL, socket, nullptr);
         return 0;
     }
@@ -63,7 +63,7 @@
     event.events = eventsOf(what);
     event.data.fd = socket;
     const int operation = known == nullptr ? EPOLL_CTL_ADD : EPOLL_CTL_MOD;
-    // A socket that was closed and opened again under its number is known to libcurl and not to the set, or the other way round.
+    // After a socket was closed and its number was reused, libcurl and the epoll set may disagree on whether it is registered.
     if (epoll_ctl(events->m_epoll, operation, socket, &event) != 0) {
         epoll_ctl(events->m_epoll, operation == EPOLL_CTL_ADD ? EPOLL_CTL_MOD : EPOLL_CTL_ADD, socket, &event);
     }
--- a/transport/curlevents.h
+++ b/transport/curlevents.h
@@ -8,27 +8,27 @@
 {
 
 /**
- * Drives the transfers of a libcurl multi handle by what happens on their sockets. Not thread-safe.
+ * Drives the transfers of a libcurl multi handle by the events on their sockets. Not thread-safe.
  *
- * curl_multi_perform() looks at every transfer at each call, with a system call for each. A node with thirty streams under way wakes for
- * each event of one and would ask thirty sockets; most of its processor time goes there, and its callers wait.
+ * curl_multi_perform() checks every transfer at each call, with a system call for each. A node with thirty streams in progress would check
+ * thirty sockets at each event of one of them: this would take most of its processor time and delay its callers.
  */
 class CurlEvents
 {
 public:
-    /** @p multi must outlive this, and be driven by nothing else. */
+    /** @p multi must outlive this object and must not be driven by anything else. */
     explicit CurlEvents(CURLM *multi);
     ~CurlEvents();
     CurlEvents(const CurlEvents &) = delete;
     CurlEvents &operator=(const CurlEvents &) = delete;
 
-    /** Readable when a transfer can go on. */
+    /** Readable when a transfer can continue. */
     int descriptor() const;
-    /** Until a transfer has something to do without its socket: at most @p longest. */
+    /** Time until a transfer has work to do that no socket event announces; at most @p longest. */
     Duration untilTimeout(Duration longest) const;
-    /** Goes on with transfers whose timeout has come. */
+    /** Continues the transfers whose timeout has expired. */
     void runTimeouts();
-    /** Goes on with transfers whose sockets are ready; call it when descriptor() is readable. */
+    /** Continues the transfers whose sockets are ready. To be called when descriptor() is readable. */
     void runReady();
 
 private:
--- a/transport/httpclient.cpp
+++ b/transport/httpclient.cpp
@@ -26,12 +26,13 @@
 {
 
 constexpr int PollMilliseconds = 1000;
-// Buffers of a call. Answers come in parts of a few kilobytes; libcurl's own 16 and 64 KB would be most of a small node's memory.
+// Buffers of a call. Answers arrive in parts of a few kilobytes; libcurl's default buffers of 16 and 64 KB would take most of the memory of
+// a small node.
 constexpr long ReceiveBufferBytes = 8L << 10;
 constexpr long SendBufferBytes = 16L << 10;
-// Connections kept for reuse, over all upstreams: a few for each of the largest fleet's.
+// Connections kept for reuse, over all upstreams: a few to each upstream of the largest fleet.
 constexpr long MaxKeptConnections = 256;
-// A silent peer is noticed after one second of idling and two probes a second apart.
+// An unresponsive peer is detected after one second without traffic and two keepalive probes one second apart.
 constexpr long KeepAliveSeconds = 1;
 
 struct Transfer
@@ -69,7 +70,7 @@
     }
 }
 
-// The end of the headers; interim answers (1xx) are followed by another head.
+// Called at the end of the headers. Interim answers (1xx) are accepted here, since another head follows them.
 bool acceptsHead(Transfer &transfer)
 {
     constexpr int FirstFinalStatus = 200;
@@ -103,7 +104,8 @@
 std::size_t onBody(char *data, std::size_t, std::size_t count, void *context)
 {
     auto &transfer = *static_cast<Transfer *>(context);
-    // libcurl hands the refused bytes out again after a pause, so the pause is asked for on the next part, not on the one just taken.
+    // libcurl delivers refused bytes again after a pause. onData has already consumed this part, so the pause is requested with the next
+    // part.
     if (transfer.isPausePending) {
         transfer.isPausePending = false;
         return CURL_WRITEFUNC_PAUSE;
@@ -118,11 +120,13 @@
 int beforeRequest(void *context, char *, char *, int, int)
 {
     auto &transfer = *static_cast<Transfer *>(context);
-    // libcurl asks again before it sends a second time on a new connection after a kept one died. The first bytes may have run by then.
+    // When a kept connection fails, libcurl calls this again before it sends the request on a new connection. The upstream may have run the
+    // request by then.
     if (transfer.isSent && transfer.call.isSentOnce) {
         return CURL_PREREQFUNC_ABORT;
     }
-    // A process that was paused wakes here with its deadline long past: asked at this moment, the call is stopped as not sent.
+    // A process that was suspended may resume here long after the deadline. The check right before the first byte ends the call as not
+    // sent.
     if (transfer.call.maySend && !transfer.call.maySend()) {
         return CURL_PREREQFUNC_ABORT;
     }
@@ -170,11 +174,11 @@
     std::atomic<bool> isStopping { false };
     absl::Mutex mutex;
     std::deque<Command> commands ABSL_GUARDED_BY(mutex);
-    // Only the client's thread touches these.
+    // Used only on the client's thread.
     absl::flat_hash_map<CallId, std::unique_ptr<Transfer>> transfers;
     std::vector<CURL *> idleHandles;
 
-    /** Of a driven client only. */
+    /** Set only for a driven client. */
     std::unique_ptr<CurlEvents> events;
     bool areEventsReady = false;
 
@@ -248,7 +252,8 @@
     while (!transfers.empty()) {
         Transfer &transfer = *transfers.begin()->second;
         const auto state = transfer.isSent ? AttemptState::Sent : AttemptState::NotSent;
-        end(transfer, CallResult { state, 0, transfer.isSent ? ErrorKind::UpstreamFailed : ErrorKind::Draining, "the client stops" });
+        end(transfer,
+            CallResult { state, 0, transfer.isSent ? ErrorKind::UpstreamFailed : ErrorKind::Draining, "the HTTP client is shutting down" });
     }
 }
 
@@ -286,7 +291,7 @@
     transfers.emplace(transfer->id, std::move(transfer));
 }
 
-// A request that goes on as it came must not gain headers that its sender left out.
+// A request that is passed on unchanged must not gain headers that its sender left out.
 void HttpClient::Private::suppressDefaults(Transfer &transfer)
 {
     for (const char *name : { "Accept", "Content-Type", "User-Agent" }) {
@@ -317,7 +322,7 @@
         transfer.headerList = curl_slist_append(transfer.headerList, "Expect:");
     }
     for (const auto &[name, value] : call.headers) {
-        // libcurl drops a header whose value is empty, unless it ends with a semicolon.
+        // libcurl omits a header whose value is empty, unless the line ends with a semicolon.
         std::string line = name;
         line.append(value.empty() ? ";" : ": ").append(value);
         transfer.headerList = curl_slist_append(transfer.headerList, line.c_str());
@@ -336,8 +341,8 @@
         curl_easy_setopt(easy, CURLOPT_CAINFO, call.authorityFile.c_str());
     }
     if (!call.isRepeatable) {
-        // On a reused connection that dies before the first answer byte libcurl sends the request again by itself, POST included: a
-        // payment would run twice. A connection of its own rules that out.
+        // When a reused connection fails before the first byte of the answer, libcurl sends the request again by itself, even a POST: a
+        // payment would run twice. A new connection that is not reused prevents this.
         curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
         curl_easy_setopt(easy, CURLOPT_FORBID_REUSE, 1L);
     }
@@ -462,7 +467,7 @@
     }
     pollDescriptors.push_back(pollfd { d->events->descriptor(), POLLIN, 0 });
     poll(pollDescriptors.data(), pollDescriptors.size(), static_cast<int>(d->events->untilTimeout(wait).milliseconds()));
-    // Answers are read at the next step, once the caller knows the time of this one.
+    // Answers are read in the next step, after the caller has updated its time.
     d->areEventsReady = pollDescriptors.back().revents != 0;
     std::vector<bool> areReady;
     areReady.reserve(descriptors.size());
--- a/transport/httpserver.cpp
+++ b/transport/httpserver.cpp
@@ -47,7 +47,7 @@
     HttpHandler handler;
     MHD_Daemon *daemon = nullptr;
     std::atomic<int> active { 0 };
-    /** Connections that go on do so at the next step, and no descriptor shows it. */
+    /** Set when a suspended connection was resumed: it continues at the next step, which no descriptor signals. */
     std::shared_ptr<std::atomic<bool>> isAnyResumed = std::make_shared<std::atomic<bool>>(false);
     std::atomic<bool> isStopping { false };
     SystemClock clock;
@@ -88,8 +88,8 @@
     return info != nullptr ? info->connect_fd : -1;
 }
 
-// Two ends of one body: a sender and a receiver that each believe another one see different requests in the same bytes, and the second of
-// them runs unasked. Such a request is refused and its connection closed, so that nothing after it is read.
+// Prevents request smuggling: a sender and a receiver that disagree on where a body ends see different requests in the same bytes, and the
+// receiver runs a request that nobody made. Such a request is refused and its connection closed, so that nothing after it is read.
 bool hasAmbiguousLength(const HttpRequest &request)
 {
     int lengths = 0;
@@ -107,7 +107,7 @@
     return lengths + encodings > 1 || !isOnlyChunked;
 }
 
-// Keeps the raw target beside MHD's parsed one, so that it can be passed on unchanged.
+// Keeps the raw target in addition to the one that MHD parses, so that it can be passed on unchanged.
 void *onUri(void *isAnyResumed, const char *uri, MHD_Connection *connection)
 {
     auto exchange = std::make_shared<MhdExchange>(connection, *static_cast<std::shared_ptr<std::atomic<bool>> *>(isAnyResumed));
@@ -137,7 +137,7 @@
     MHD_Connection *connection, const char *url, const char *method, const char *data, std::size_t *size, void **state)
 {
     // MHD calls this several times for one request: at its headers, for each part of its body, at its end and after each resume. The
-    // request is handed on once, at its end, else it would be admitted and run more than once.
+    // handler is called only once, at the end of the request; otherwise the request would be admitted and run more than once.
     auto *exchange = static_cast<std::shared_ptr<MhdExchange> *>(*state)->get();
     HttpRequest &request = exchange->request;
     if (request.method.empty()) {
@@ -220,7 +220,7 @@
     }
 }
 
-// GnuTLS asks for the certificate at each handshake, so a reload needs no new listener and cuts off nobody.
+// GnuTLS asks for the certificate at each handshake, so a reload needs no new listener and interrupts no connection.
 int HttpServer::Private::retrieveCertificate(gnutls_session_t session, const gnutls_datum_t *, int, const gnutls_pk_algorithm_t *, int,
     gnutls_pcert_st **chain, unsigned int *length, gnutls_privkey_t *key)
 {
@@ -264,7 +264,7 @@
     address.sin_family = AF_INET;
     address.sin_port = htons(settings.port);
     if (inet_pton(AF_INET, settings.address.c_str(), &address.sin_addr) != 1) {
-        return Error { ErrorKind::SettingsInvalid, "'" + settings.address + "' is not an IP number" };
+        return Error { ErrorKind::SettingsInvalid, "'" + settings.address + "' is not an IPv4 address" };
     }
     const auto access = [](void *context, MHD_Connection *connection, const char *url, const char *method, const char *, const char *data,
                             std::size_t *size, void **state) -> MHD_Result {
--- a/transport/httpserver.h
+++ b/transport/httpserver.h
@@ -17,111 +17,117 @@
 
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
-/** A whole request as it arrived. */
+/** A complete request as it arrived. */
 struct HttpRequest
 {
     std::string method;
     /** Without the query. */
     std::string path;
-    /** The query as it came, without '?'. */
+    /** The query as it arrived, without '?'. */
     std::string query;
     std::map<std::string, std::string> parameters;
-    /** Path and query byte for byte as they came. */
+    /** Path and query as they arrived, byte for byte. */
     std::string target;
-    /** Names in lower case; the last of repeated ones. */
+    /** Names in lower case; of headers with the same name only the last. */
     std::map<std::string, std::string> headers;
-    /** All headers as they came, in order. */
+    /** All headers as they arrived, in order. */
     HttpHeaders headerList;
     std::string body;
-    /** The caller's IP number. */
+    /** The caller's IP address. */
     std::string peer;
 
-    /** Empty when there is none. @p name in lower case. */
+    /** Empty when there is no such header. @p name must be in lower case. */
     std::string header(const std::string &name) const;
     std::string parameter(const std::string &name) const;
 };
 
 /**
- * One request in progress and the answer to it. Every method may be called from any thread.
+ * One request in progress and the answer to it. Thread-safe.
  *
- * An answer is either respond(), or beginStream(), write()... and then finish() or abort(). Only the first answer counts.
+ * An answer is either respond(), or beginStream() followed by calls of write() and then finish() or abort(). Only the first answer counts.
  */
 class HttpExchange
 {
 public:
     virtual ~HttpExchange() = default;
 
-    /** Answers whole. */
+    /** Sends a complete answer. */
     virtual void respond(int status, const HttpHeaders &headers, std::string body) = 0;
-    /** Starts an answer of unknown length. */
+    /** Starts a streamed answer of unknown length. */
     virtual void beginStream(int status, const HttpHeaders &headers) = 0;
-    /** Adds to the stream. Returns false when the caller reads slower than this is written: wait for onDrained then. */
+    /** Appends to the stream. Returns false when the caller reads more slowly than the stream is written: wait for onDrained() then. */
     virtual bool write(std::string_view data) = 0;
-    /** Ends the stream well. */
+    /** Ends the stream as complete. */
     virtual void finish() = 0;
-    /** Closes the connection so that the answer cannot look whole. */
+    /** Closes the connection in such a way that the caller cannot take the answer for complete. */
     virtual void abort() = 0;
-    /** Called each time that a full buffer has emptied, from a server thread. Set before beginStream(). */
+    /**
+     * Sets the callback for each time that a full buffer has been emptied. It is called on a server thread. To be set before beginStream().
+     */
     virtual void onDrained(std::function<void()> callback) = 0;
-    /** Called once when the caller's connection has closed before the answer was whole, from a server thread. */
+    /** Sets the callback for a caller whose connection closed before the answer was complete. It is called once, on a server thread. */
     virtual void onCallerGone(std::function<void()> callback) = 0;
 };
 
-/** Called once for each whole request, from a server thread; must not block. */
+/** Called once for each complete request, on a server thread; must not block. */
 using HttpHandler = std::function<void(HttpRequest, std::shared_ptr<HttpExchange>)>;
 
 struct HttpServerSettings
 {
-    /** IP number to listen on. */
+    /** IPv4 address to listen on. */
     std::string address = "127.0.0.1";
-    /** 0 picks a free one. */
+    /** 0 picks a free port. */
     std::uint16_t port = 0;
     /** 1 to 64. */
     int threads = 2;
     std::size_t maxBodyBytes = 8U << 20U;
-    /** Header bytes at most, and the memory of a connection. */
+    /** Limit on the size of the headers; also the memory of a connection. */
     std::size_t maxHeaderBytes = 32U << 10U;
-    /** A connection with nothing sent or received for this long is closed; 1 to 3600 s. */
+    /** A connection on which nothing is sent or received for this long is closed; 1 to 3600 s. */
     Duration idleTimeout = Duration::seconds(75);
     int maxConnections = 4096;
-    /** A request that has not arrived whole after this long is ended with 408; 100 ms to 1 h. Also how long a connection may idle. */
+    /**
+     * A connection whose next request has not arrived completely within this time is closed, over plain HTTP with a 408 answer; 100 ms to
+     * 1 h. The time starts when the connection opens or its previous request ends, so that it also limits how long a connection may be
+     * idle.
+     */
     Duration arrivalTimeout = Duration::seconds(75);
-    /** Serves TLS only when set. */
+    /** The server uses TLS when this is set. */
     std::shared_ptr<TlsCredentials> tls;
     /**
-     * Has no threads of its own: an IoLoop drives it, and all callbacks come from there. Answers the VM with a sixth of a core, where each
-     * thread costs memory and a lock saves nothing.
+     * The server has no threads of its own: an IoLoop drives it and calls all callbacks. Meant for a VM with a sixth of a core, where each
+     * thread costs memory and parallel threads gain nothing.
      */
     bool isDriven = false;
 };
 
-/** A caller that leaves while its request waits is noticed within this time; what it asked for can then be stopped. */
+/** A caller that disconnects while its request waits is detected within this time, so that the work for it can be stopped. */
 inline constexpr Duration GoneCheckInterval { 200 };
 
 /** An HTTP/1.1 server. */
 class HttpServer
 {
 public:
-    /** Starts to listen. Errors: SettingsInvalid when the address cannot be had. */
+    /** Starts to listen. Errors: SettingsInvalid when the address cannot be bound. */
     static Result<std::unique_ptr<HttpServer>> start(const HttpServerSettings &settings, HttpHandler handler);
-    /** Closes all connections, those in progress too. */
+    /** Closes all connections, including those with requests in progress. */
     ~HttpServer();
 
     std::uint16_t port() const;
-    /** Requests whose answers are not whole yet. */
+    /** Number of requests whose answers are not complete yet. */
     int activeCount() const;
-    /** Takes no new connections from now on; those that exist go on. */
+    /** Accepts no new connections from now on; existing connections continue. */
     void stopAccepting();
 
     // For a driven server.
 
     /** Readable when there is work for step(). */
     int pollDescriptor() const;
-    /** Does the work at hand. */
+    /** Does the pending work. */
     void step();
-    /** Whether there is work for step() that the descriptor does not show. */
+    /** Whether there is work for step() that the descriptor does not signal. */
     bool hasWork() const;
-    /** Notices callers that left and connections that are overdue. Call it every GoneCheckInterval. */
+    /** Detects callers that disconnected and connections that are overdue. To be called every GoneCheckInterval. */
     void checkConnections();
 
     struct Private;
--- a/transport/ioloop.cpp
+++ b/transport/ioloop.cpp
@@ -13,10 +13,11 @@
 namespace
 {
 
-// A signal that arrives between two waits is seen within this time.
+// A signal that arrives between two waits is handled within this time.
 constexpr Duration MaxWait { 100 };
-// Datagrams wait this long for others to be read together with them. In a fleet of 134 nodes each hears some 400 a second; woken by each, a
-// node with a twelfth of a core spends more on waking than on what they say, and a request for an adapter takes 250 ms anyway.
+// Datagrams wait this long so that several are read together. In a fleet of 134 nodes each node receives some 400 datagrams a second. If
+// each of them woke the thread, a node with a twelfth of a core would spend more time on wakeups than on the messages; a request for an
+// adapter takes 250 ms anyway.
 constexpr Duration DatagramBatchDelay { 8 };
 
 struct Socket
@@ -35,7 +36,7 @@
     std::vector<HttpServer *> servers;
     std::vector<Socket> sockets;
     Time datagramsReadAt;
-    // By the moment, then in the order in which they were set.
+    // Ordered by due time, then by the order in which they were set.
     absl::btree_map<std::pair<Time, TimerId>, std::function<void()>> timers;
     absl::btree_map<TimerId, Time> dueTimes;
     TimerId lastTimer = 0;
@@ -69,7 +70,7 @@
         return std::any_of(servers.begin(), servers.end(), [](const HttpServer *server) { return server->hasWork(); });
     }
 
-    /** @p areReady: by the servers' order. Each server that is stepped for nothing costs a system call. */
+    /** @p areReady: in the order of the servers. Each step of a server without work costs a system call. */
     void stepServers(const std::vector<bool> &areReady)
     {
         for (std::size_t i = 0; i < servers.size(); ++i) {
--- a/transport/ioloop.h
+++ b/transport/ioloop.h
@@ -12,14 +12,13 @@
 namespace ApricotStep
 {
 
-/** A function to be called later; 0 is none. */
+/** Identifies a function to be called later; 0 means none. */
 using TimerId = std::uint64_t;
 
 /**
- * One thread that serves driven HTTP servers, a driven HTTP client, UDP sockets and timers by turns.
+ * One thread that serves driven HTTP servers, a driven HTTP client, UDP sockets and timers in turn.
  *
- * All callbacks come from run(), one after the other, so what they share needs no lock. Nothing here may be called from another thread but
- * stop().
+ * run() calls all callbacks, one after the other, so the data that they share needs no lock. Only stop() may be called from another thread.
  */
 class IoLoop
 {
@@ -30,8 +29,9 @@
     HttpClient &client();
     const Clock &clock() const;
     /**
-     * When the present round of work began: at most some milliseconds ago, unless the process slept since. Reading the clock anew for each
-     * decision costs more than many of them. What must not be done after a sleep asks clock() right before.
+     * When the current round of work began: a few milliseconds ago at most, unless the process was suspended since. Reading the clock for
+     * each decision would cost more than many of the decisions. Code that must not act after a suspension reads clock() right before it
+     * acts.
      */
     Time now() const;
     /** Serves @p server, which must be driven and must outlive run(). */
@@ -40,11 +40,11 @@
     void add(UdpSocket *socket, UdpSocket::Handler handler);
     /** Calls @p function once, no sooner than @p wait from now(). */
     TimerId after(Duration wait, std::function<void()> function);
-    /** Nothing happens when it was called or cancelled already. */
+    /** Does nothing when the function was already called or cancelled. */
     void cancel(TimerId id);
-    /** Works until stop(); may be called again. */
+    /** Runs until stop(); may be called again afterwards. */
     void run();
-    /** Makes run() return after the work at hand; from any thread. */
+    /** Makes run() return after the current round of work. Thread-safe. */
     void stop();
 
 private:
--- a/transport/mhdexchange.cpp
+++ b/transport/mhdexchange.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-// Bytes of a stream that wait for the caller before write() asks for a pause.
+// Number of buffered bytes of a stream above which write() asks for a pause.
 constexpr std::size_t HighWaterBytes = 256U << 10U;
 constexpr std::size_t StreamBlockBytes = 16U << 10U;
 
@@ -96,7 +96,6 @@
     callback();
 }
 
-// From the server's thread: the answer if there is one, else suspends until there is.
 MHD_Result MhdExchange::answerOrSuspend()
 {
     const absl::MutexLock lock(&m_mutex);
@@ -118,7 +117,6 @@
     return result;
 }
 
-// The connection is over. isWhole tells whether the caller got everything.
 void MhdExchange::close(bool isWhole)
 {
     std::function<void()> gone;
@@ -141,7 +139,8 @@
     }
 }
 
-// MHD does not watch a suspended connection, so a caller that left would hold its place in the queue until it was served.
+// MHD does not watch a suspended connection. Without this check the request of a caller that disconnected would keep its place in the queue
+// until it was served.
 void MhdExchange::checkCallerGone()
 {
     std::function<void()> gone;
--- a/transport/mhdexchange.h
+++ b/transport/mhdexchange.h
@@ -15,15 +15,15 @@
 /**
  * The exchange of one request of a libmicrohttpd connection. Internal to transport.
  *
- * m_mutex guards all state; MHD is called with it held only for suspend and resume, which do not call back.
+ * m_mutex guards all state. The MHD functions that are called while it is held do not call back.
  */
 class MhdExchange final : public HttpExchange, public std::enable_shared_from_this<MhdExchange>
 {
 public:
-    /** @p isAnyResumed is set whenever the connection goes on after a wait. */
+    /** @p isAnyResumed is set each time that the connection is resumed. */
     MhdExchange(MHD_Connection *connection, std::shared_ptr<std::atomic<bool>> isAnyResumed);
 
-    // Only the connection's server thread touches these.
+    // Used only on the connection's server thread.
     HttpRequest request;
     bool isTooLarge = false;
     bool isHandled = false;
@@ -36,11 +36,11 @@
     void onDrained(std::function<void()> callback) override;
     void onCallerGone(std::function<void()> callback) override;
 
-    /** From the server's thread: queues the answer if there is one, else suspends the connection until there is. */
+    /** On the server's thread: queues the answer if there is one, otherwise suspends the connection until there is. */
     MHD_Result answerOrSuspend();
-    /** The request is over; @p isWhole tells whether the caller got everything. */
+    /** The request is over; @p isWhole tells whether the caller received the complete answer. */
     void close(bool isWhole);
-    /** Notices a caller that left while its connection is suspended; called now and then. */
+    /** Detects a caller that disconnected while its connection is suspended. Called at regular intervals. */
     void checkCallerGone();
 
 private:
--- a/transport/tlscredentials.cpp
+++ b/transport/tlscredentials.cpp
@@ -53,7 +53,7 @@
     std::string certificateFile;
     std::string keyFile;
     mutable absl::Mutex mutex;
-    // All generations are kept: a handshake may still read an old one. Reloads are rare and a generation is a few kilobytes.
+    // All generations are kept, since a handshake may still read an old one. Reloads are rare and a generation takes a few kilobytes.
     std::vector<std::unique_ptr<Generation>> generations ABSL_GUARDED_BY(mutex);
 
     Result<std::unique_ptr<Generation>> read() const;
--- a/transport/udpsocket.cpp
+++ b/transport/udpsocket.cpp
@@ -18,7 +18,7 @@
 {
 
 constexpr std::size_t MaxDatagramBytes = 16U << 10U;
-// A thread that reads on without end under a flood would never see that it is to stop.
+// Without this limit a thread under a flood of datagrams would read forever and never notice that it is to stop.
 constexpr int MaxReadsPerRound = 256;
 
 bool parseAddress(const std::string &text, sockaddr_in &address)
@@ -67,7 +67,7 @@
 
 void UdpSocket::Private::readAll(const Handler &to) const
 {
-    std::array<char, MaxDatagramBytes> buffer; // Not zeroed: it is larger than most datagrams by far.
+    std::array<char, MaxDatagramBytes> buffer; // Not zeroed: it is far larger than most datagrams.
     for (int i = 0; i < MaxReadsPerRound; ++i) {
         sockaddr_in from {};
         socklen_t length = sizeof from;
@@ -101,12 +101,13 @@
     std::unique_ptr<UdpSocket> udp(new UdpSocket);
     sockaddr_in local {};
     if (!parseAddress(address + ':' + std::to_string(port), local)) {
-        return Error { ErrorKind::SettingsInvalid, "'" + address + "' is not an IPv4 number; set membership.address to one of this VM" };
+        return Error { ErrorKind::SettingsInvalid,
+            "'" + address + "' is not an IPv4 address; set membership.address to an address of this VM" };
     }
     udp->d->socket = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     udp->d->wake = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
     if (bind(udp->d->socket, reinterpret_cast<const sockaddr *>(&local), sizeof local) != 0) {
-        return Error { ErrorKind::SettingsInvalid, "cannot bind UDP " + addressText(local) + "; set membership.port to a free one" };
+        return Error { ErrorKind::SettingsInvalid, "cannot bind UDP " + addressText(local) + "; set membership.port to a free port" };
     }
     socklen_t length = sizeof local;
     getsockname(udp->d->socket, reinterpret_cast<sockaddr *>(&local), &length);
--- a/transport/udpsocket.h
+++ b/transport/udpsocket.h
@@ -11,36 +11,38 @@
 namespace ApricotStep
 {
 
-/** An IP number and a port. */
+/** An IP address and a port. */
 struct Endpoint
 {
     std::string ip;
     std::uint16_t port = 0;
 };
 
-/** Splits host:port. What is no port becomes 0, which no peer expects; binding it shows. */
+/** Splits host:port. An invalid port becomes 0: a socket bound to it gets a port on which no peer expects it. */
 Endpoint parseEndpoint(const std::string &address);
 
-/** A non-blocking UDP socket, read by one thread of its own or by whoever calls receive(). */
+/** A non-blocking UDP socket, read by a thread of its own or by calls of receive(). */
 class UdpSocket
 {
 public:
-    /** Bytes of one datagram and its sender as host:port; called from the socket's thread, must not block. */
+    /** Receives the bytes of one datagram and its sender as host:port. Called on the thread that reads the socket; must not block. */
     using Handler = std::function<void(std::string_view, const std::string &)>;
 
-    /** Binds to @p port of the IPv4 number @p address; 0 picks a free one. Errors: SettingsInvalid. */
+    /** Binds to @p port of the IPv4 address @p address; 0 picks a free port. Errors: SettingsInvalid. */
     static Result<std::unique_ptr<UdpSocket>> open(const std::string &address, std::uint16_t port);
     /** Stops the thread; the handler is not called afterwards. */
     ~UdpSocket();
 
     std::uint16_t port() const;
-    /** Begins to read; once. */
+    /** Starts a thread that reads the socket. May be called only once. */
     void start(Handler handler);
-    /** Readable when there is a datagram; for receive(). */
+    /** Readable when a datagram has arrived; for use with receive(). */
     int descriptor() const;
-    /** Hands the datagrams at hand to @p handler, for a socket without a thread. */
+    /** Passes the datagrams that have arrived to @p handler; for a socket without a thread. */
     void receive(const Handler &handler);
-    /** Sends to host:port from any thread; false when the address is no IPv4 number or the datagram could not leave. */
+    /**
+     * Sends to host:port. Returns false when @p to is not an IPv4 address with a port, or when the datagram could not be sent. Thread-safe.
+     */
     bool send(const std::string &to, std::string_view bytes);
 
 private:
