--- a/transport/noderpc.cpp
+++ b/transport/noderpc.cpp
@@ -50,7 +50,7 @@
     return { ErrorKind::PeerUnreachable, address + ": " + exception.getDescription().cStr() };
 }
 
-// Everything that belongs to the loop's thread, made and destroyed there.
+// The objects that belong to the loop's thread; created and destroyed there.
 class LoopState final : private kj::TaskSet::ErrorHandler
 {
 public:
@@ -80,17 +80,17 @@
         auto receiver = std::make_shared<AnswerReceiver>(m_loop, m_receivers, exchange);
         auto isSent = std::make_shared<bool>(false);
         auto call = m_links.get(address).then([receiver, isSent, request, hops](std::shared_ptr<PeerLink> &&link) {
-            // From here on the request may run there, whatever becomes of the connection.
+            // From here on the peer may run the request, even if the connection breaks.
             *isSent = true;
             auto message = link->node().forwardRequest();
             writeRequest(message.initRequest(), request, hops);
             message.setAnswer(receiver->sink());
             return link->monitorCall(message.send().ignoreResult());
         });
-        auto ended = call.then([receiver] { receiver->failOwnerLost("it ended without an answer"); },
+        auto ended = call.then([receiver] { receiver->failStreamCut("the call ended without an answer"); },
             [receiver, isSent, address, onNotSent](kj::Exception &&exception) {
                 if (*isSent) {
-                    receiver->failOwnerLost(exception.getDescription().cStr());
+                    receiver->failStreamCut(exception.getDescription().cStr());
                     return;
                 }
                 receiver->detach();
@@ -113,8 +113,9 @@
                         .then([done](Result<std::string> &&result) { done(std::move(result)); },
                             [done, address, usedLink](kj::Exception &&exception) {
                                 if (*usedLink != nullptr) {
-                                    // It may be paused for long: the next call finds out while it connects, which takes less time.
-                                    (*usedLink)->markBroken("a call took too long");
+                                    // The peer may be suspended for long. The next call then fails while it connects, which takes less
+                                    // time.
+                                    (*usedLink)->markBroken("a call timed out");
                                 }
                                 done(unreachable(address, exception));
                             }));
@@ -146,7 +147,7 @@
 
     void taskFailed(kj::Exception &&exception) override
     {
-        spdlog::warn("rpc: A call failed. {}", exception.getDescription().cStr());
+        spdlog::warn("rpc: A call to a peer failed. {}", exception.getDescription().cStr());
     }
 
     std::shared_ptr<RpcLoop> m_loop;
@@ -167,7 +168,7 @@
     std::atomic<int> served { 0 };
     std::uint16_t port = 0;
     std::shared_ptr<RpcLoop> loop = std::make_shared<RpcLoop>();
-    std::unique_ptr<LoopState> loopState; // Made, used and destroyed on the loop's thread.
+    std::unique_ptr<LoopState> loopState; // Created, used and destroyed on the loop's thread.
 
     Result<std::uint16_t> listen();
 };
--- a/transport/noderpc.h
+++ b/transport/noderpc.h
@@ -10,41 +10,44 @@
 
 struct NodeRpcSettings
 {
-    /** IP number to listen on. */
+    /** IP address to listen on. */
     std::string address = "127.0.0.1";
-    /** 0 picks a free one. */
+    /** 0 picks a free port. */
     std::uint16_t port = 0;
-    /** What all nodes of the fleet share; both sides of a connection prove that they know it. */
+    /** The secret that all nodes of the fleet share; both sides of a connection prove that they know it. */
     std::string secret;
-    /** PEM texts; all three or none. Without them connections are plain: authenticated, but open to readers on the network. */
+    /** PEM texts; all three or none. Without them connections are authenticated but not encrypted. */
     std::string tlsCertificate;
     std::string tlsKey;
     std::string tlsAuthority;
-    /** The DNS name that every node's certificate carries. */
+    /** The DNS name in every node's certificate. */
     std::string tlsName = "apricotstep-node";
-    /** To connect and authenticate. */
+    /** Limit on connecting and authenticating. */
     Duration connectTimeout { 1000 };
-    /** For a whole fetch() or sendMessage(). */
+    /** Limit on a whole fetch() or sendMessage(). */
     Duration callTimeout { 3000 };
-    /** While a forward is in progress the peer must answer a ping within this, twice. */
+    /**
+     * While a forwarded request is in progress the peer is pinged. The connection is given up when two pings in a row are not answered
+     * within this time.
+     */
     Duration pingTimeout { 2000 };
-    /** A peer that takes no part of an answer for this long has lost its caller. */
+    /** A forwarded answer is given up when the peer accepts no part of it for this long: its caller is gone by then. */
     Duration writeTimeout { 90'000 };
-    /** Longest body of a request; messages may be this and 1 MiB long. */
+    /** Limit on the body of a request; messages may be 1 MiB longer. */
     std::size_t maxBodyBytes = 8U << 20U;
 };
 
-/** Gives the value that stands under a name. Errors: NotFound. Called on the RPC's thread; must not block. */
+/** Returns the value of a name. Errors: NotFound. Called on the RPC thread; must not block. */
 using ValueHandler = std::function<Result<std::string>(const std::string &name)>;
-/** Answers a message of one part. Called on the RPC's thread; must not block. */
+/** Answers a message to one part of this node. Called on the RPC thread; must not block. */
 using PartHandler = std::function<Result<std::string>(const std::string &message)>;
-/** Serves a request that a peer forwarded, as if it had arrived here. Called on the RPC's thread; must not block. */
+/** Serves a request that a peer forwarded, as if it had arrived at this node. Called on the RPC thread; must not block. */
 using ForwardHandler = std::function<void(HttpRequest request, int hops, const std::shared_ptr<HttpExchange> &exchange)>;
 
 /**
- * Node RPC: what this node asks of others and what it does for them, over Cap'n Proto on one thread of its own.
+ * Node RPC: the calls that this node makes to other nodes and the calls that it serves, over Cap'n Proto on one thread of its own.
  *
- * Connections are made when needed and kept; one that broke is made again at the next call. Thread-safe.
+ * Connections are made on demand and kept; the next call replaces a broken connection. Thread-safe.
  */
 class NodeRpc final : public Peers
 {
@@ -55,14 +58,14 @@
     ~NodeRpc() override;
 
     std::uint16_t port() const;
-    /** Requests of peers whose answers are not whole yet. */
+    /** Number of requests from peers whose answers are not complete yet. */
     int servedCount() const;
 
-    /** Serves fetch() of the names that begin with @p prefix; the longest prefix wins. */
+    /** Serves fetch() for names that begin with @p prefix; the longest matching prefix wins. */
     void serveValue(const std::string &prefix, ValueHandler handler);
-    /** Serves sendMessage() to @p part. */
+    /** Serves sendMessage() for the part @p part. */
     void servePart(const std::string &part, PartHandler handler);
-    /** Serves forward(). Until it is set, forwarded requests are refused as NotReady. */
+    /** Serves forward(). Until it is set, forwarded requests are refused with NotReady. */
     void serveForwards(ForwardHandler handler);
 
     void forward(const std::string &rpcAddress, const HttpRequest &request, int hops, const std::shared_ptr<HttpExchange> &exchange,
--- a/transport/peerlink.cpp
+++ b/transport/peerlink.cpp
@@ -17,7 +17,8 @@
 constexpr int KeepAliveIdleSeconds = 15;
 constexpr int KeepAliveIntervalSeconds = 5;
 constexpr int KeepAliveProbes = 3;
-// A process that itself wakes from a pause finds its timers overdue before it has read what came meanwhile; the second ping is fair.
+// A process that resumes after a suspension finds its timers expired before it has read what arrived meanwhile. A single missed ping
+// therefore does not show that the peer is lost.
 constexpr int MaxMissedPings = 2;
 
 kj::Duration kjDuration(Duration duration)
@@ -60,7 +61,7 @@
     auto broken = kj::newPromiseAndFulfiller<void>();
     m_brokenFulfiller = kj::mv(broken.fulfiller);
     m_broken = broken.promise.fork();
-    m_disconnectWatch = m_network.onDisconnect().then([this] { markBroken("the connection closed"); }).eagerlyEvaluate(nullptr);
+    m_disconnectWatch = m_network.onDisconnect().then([this] { markBroken("the connection was closed"); }).eagerlyEvaluate(nullptr);
 }
 
 kj::Promise<void> PeerLink::authenticate()
@@ -122,7 +123,7 @@
             .then([missed] { *missed = 0; },
                 [this, missed](kj::Exception &&exception) {
                     if (++*missed >= MaxMissedPings || exception.getType() == kj::Exception::Type::DISCONNECTED) {
-                        markBroken("it answers no pings");
+                        markBroken("the peer does not answer pings");
                     }
                 });
     };
--- a/transport/peerlink.h
+++ b/transport/peerlink.h
@@ -14,27 +14,31 @@
 namespace ApricotStep
 {
 
-/** How messages are read: their size is bounded, since each is held in memory whole. */
+/** Limits for reading messages. Their size is bounded, since each message is held in memory as a whole. */
 capnp::ReaderOptions readerOptions(const NodeRpcSettings &settings);
-/** Has the kernel give up a connection whose other end vanished without a word, such as a VM that lost its power. */
+/**
+ * Enables TCP keepalive, so that the kernel closes a connection whose other end disappeared without closing it, such as a VM that lost
+ * power. Also sets TCP_NODELAY.
+ */
 void enableKeepAlive(kj::AsyncIoStream &stream);
 
-/** One connection to a peer. Only on the loop's thread. */
+/** One connection to a peer. Used only on the loop's thread. */
 class PeerLink : public std::enable_shared_from_this<PeerLink>
 {
 public:
     PeerLink(kj::Own<kj::AsyncIoStream> stream, const NodeRpcSettings &settings, kj::Timer &timer);
 
-    /** Shows this node's knowledge of the secret and checks the peer's. */
+    /** Checks the peer's proof that it knows the secret and sends this node's own. */
     kj::Promise<void> authenticate();
-    /** Only after authenticate(). */
+    /** To be called only after authenticate(). */
     Wire::PeerNode::Client &node();
     bool isBroken() const;
-    /** The next call makes a new connection. */
+    /** Fails the calls passed to monitorCall(). The next call makes a new connection. */
     void markBroken(const std::string &why);
     /**
-     * Passes on @p call, or fails when the connection dies first. A peer whose process is paused keeps its connections open and answers
-     * nothing: pings tell it from one whose answer just takes long, else its callers would hang until their own deadlines.
+     * Returns @p call, which fails when the connection breaks first. A peer whose process is suspended keeps its connections open but
+     * answers nothing. Pings tell such a peer from one that is slow to answer; without them its callers would wait until their own
+     * deadlines.
      */
     kj::Promise<void> monitorCall(kj::Promise<void> call);
 
@@ -55,13 +59,13 @@
     kj::Promise<void> m_disconnectWatch;
 };
 
-/** The connections to all peers, made when needed. Only on the loop's thread. */
+/** The connections to all peers, made on demand. Used only on the loop's thread. */
 class PeerLinks
 {
 public:
     PeerLinks(RpcLoop &loop, const NodeRpcSettings &settings, kj::Maybe<kj::TlsContext &> tls);
 
-    /** The live connection to @p address, a new one if need be. Rejected when it cannot be made in time. */
+    /** The working connection to @p address, or a new one. Rejected when it cannot be made in time. */
     kj::Promise<std::shared_ptr<PeerLink>> get(const std::string &address);
 
 private:
--- a/transport/rpcanswer.cpp
+++ b/transport/rpcanswer.cpp
@@ -59,7 +59,7 @@
     {
         AnswerReceiver *found = m_receivers->find(m_callId);
         if (found == nullptr) {
-            failRpc("the caller has gone");
+            failRpc("the caller has disconnected");
         }
         return *found;
     }
@@ -333,7 +333,7 @@
 {
     m_receivers->byId.erase(m_callId);
     if (!m_isEnded) {
-        failOwnerLost("this node is shutting down");
+        failStreamCut("this node is shutting down");
     }
 }
 
@@ -400,7 +400,7 @@
     }
 }
 
-void AnswerReceiver::failOwnerLost(const std::string &why)
+void AnswerReceiver::failStreamCut(const std::string &why)
 {
     if (std::exchange(m_isEnded, true)) {
         return;
--- a/transport/rpcanswer.h
+++ b/transport/rpcanswer.h
@@ -17,8 +17,8 @@
 class AnswerReceiver;
 
 /**
- * The calls of one kind that live on the loop, by number. Other threads hold the number only: what it stands for must not be touched or
- * destroyed outside the loop's thread, and may have ended meanwhile.
+ * The calls of one kind that exist on the loop, by id. Other threads hold only the id: the call itself must not be used or destroyed
+ * outside the loop's thread, and may have ended meanwhile.
  */
 template<typename T>
 struct LiveCalls
@@ -34,10 +34,10 @@
 };
 
 /**
- * At the owner: an answer on its way to the node where the caller is. Thread-safe.
+ * At the owner: an answer that is being sent to the node of the caller. Thread-safe.
  *
- * Back-pressure: at most WindowBytes (and one write) are unacknowledged; then write() returns false until half of them are taken. Without
- * it one slow caller would let a whole answer, or many, pile up in this node's memory.
+ * Backpressure: at most WindowBytes plus one write are unacknowledged. When they exceed WindowBytes, write() returns false until at most
+ * half of WindowBytes are left. Without this limit one slow caller could make one or more whole answers accumulate in this node's memory.
  */
 class RpcExchange final : public HttpExchange, public std::enable_shared_from_this<RpcExchange>
 {
@@ -54,10 +54,10 @@
     void onDrained(std::function<void()> callback) override;
     void onCallerGone(std::function<void()> callback) override;
 
-    // From the loop's thread.
+    // Called on the loop's thread.
     std::string takePending();
     void acknowledge(std::size_t bytes);
-    /** The call is over; tells onCallerGone when the answer was not whole. */
+    /** The call is over. Calls the callback of onCallerGone() when the answer was not complete. */
     void close();
 
 private:
@@ -78,7 +78,7 @@
     std::function<void()> m_gone ABSL_GUARDED_BY(m_mutex);
 };
 
-/** At the owner, on the loop's thread: hands the answer of one RpcExchange to the caller's node. Lives as long as the call. */
+/** At the owner, on the loop's thread: sends the answer of one RpcExchange to the caller's node. Exists as long as the call. */
 class AnswerSender final : private kj::TaskSet::ErrorHandler
 {
 public:
@@ -87,7 +87,10 @@
     ~AnswerSender();
 
     const std::shared_ptr<RpcExchange> &exchange() const;
-    /** Resolves when the answer is whole at the other node; rejected when that node takes nothing for the timeout. Once. */
+    /**
+     * Resolves when the other node has received the complete answer; rejected when that node accepts nothing for the timeout. To be called
+     * once.
+     */
     kj::Promise<void> completion();
 
     void respond(int status, const HttpHeaders &headers, const std::string &body);
@@ -117,9 +120,9 @@
         const std::shared_ptr<RpcLoop> &loop, std::shared_ptr<LiveCalls<AnswerReceiver>> receivers, std::shared_ptr<HttpExchange> exchange);
     ~AnswerReceiver();
 
-    /** What the owner sends to; may outlive this. */
+    /** The object that the owner sends the answer to; may outlive this one. */
     Wire::AnswerSink::Client sink();
-    /** Resolves when the caller has gone. Once. */
+    /** Resolves when the caller has disconnected. To be called once. */
     kj::Promise<void> gone();
     bool isEnded() const;
 
@@ -127,9 +130,12 @@
     void begin(Wire::AnswerSink::BeginParams::Reader params);
     kj::Promise<void> write(capnp::Data::Reader data);
     void end(bool isAborted);
-    /** The owner was lost: the caller must not take what came so far for a whole answer. */
-    void failOwnerLost(const std::string &why);
-    /** Nothing left: whoever forwards answers. */
+    /**
+     * Ends the answer with StreamCut after the owner was lost or when this node stops, so that the caller does not take the part that it
+     * received for a complete answer.
+     */
+    void failStreamCut(const std::string &why);
+    /** The request was not sent: stops using the exchange, so that the caller of NodeRpc::forward() can answer it. */
     void detach();
     void drained();
     void callerGone();
--- a/transport/rpcauthentication.h
+++ b/transport/rpcauthentication.h
@@ -5,11 +5,11 @@
 namespace ApricotStep
 {
 
-/** A number that no connection used before, as text. */
+/** A random number that no other connection uses, as hexadecimal text. */
 std::string newNonce();
-/** What only a server that knows @p secret can say on the connection of these two nonces. */
+/** Proof of a server that it knows @p secret, valid only for the connection with these two nonces. */
 std::string serverProof(const std::string &secret, const std::string &clientNonce, const std::string &serverNonce);
-/** The same for the client; differs from the server's, so that neither can be sent back as the other. */
+/** The same for the client. It differs from the server's proof, so that neither side can return the proof of the other as its own. */
 std::string clientProof(const std::string &secret, const std::string &clientNonce, const std::string &serverNonce);
 
 } // namespace ApricotStep
--- a/transport/rpcloop.cpp
+++ b/transport/rpcloop.cpp
@@ -90,7 +90,7 @@
             wake.promise.wait(io.waitScope);
         }
         runTasks();
-        io.waitScope.poll(); // Without it a steady flow of tasks would keep the loop from its sockets.
+        io.waitScope.poll(); // Without this, a steady flow of tasks would keep the loop from serving its sockets.
     }
 }
 
--- a/transport/rpcloop.h
+++ b/transport/rpcloop.h
@@ -12,14 +12,14 @@
 namespace ApricotStep
 {
 
-/** Fails the RPC in whose handler it is called. */
+/** Throws an exception that fails the RPC in whose handler it is called. */
 [[noreturn]] void failRpc(const char *why);
 
 /**
- * One KJ event loop on a thread of its own.
+ * A KJ event loop on a thread of its own.
  *
- * KJ's promises and Cap'n Proto's capabilities belong to the thread of their loop and must be made, used and destroyed there. Other
- * threads hand in tasks.
+ * KJ promises and Cap'n Proto capabilities belong to the thread of their loop and must be created, used and destroyed there. Other threads
+ * post tasks to the loop.
  */
 class RpcLoop
 {
@@ -27,15 +27,15 @@
     using Task = kj::Function<void()>;
 
     RpcLoop();
-    /** stop() must have been called. */
+    /** Stops the loop unless stop() was called. Objects that belong to the loop's thread must be destroyed by the last task of stop(). */
     ~RpcLoop();
 
-    /** Runs @p task on the loop's thread, in the order of the calls; from any thread. Dropped after stop(). */
+    /** Runs @p task on the loop's thread, in the order of the calls. Tasks posted after stop() are dropped. Thread-safe. */
     void post(Task task);
-    /** Runs @p last on the loop's thread, then ends the thread. Not from the loop's thread. */
+    /** Runs @p last on the loop's thread, then ends the thread. Must not be called on the loop's thread. */
     void stop(Task last);
 
-    // Only on the loop's thread.
+    // To be called only on the loop's thread.
     kj::Timer &timer();
     kj::Network &network();
     kj::LowLevelAsyncIoProvider &lowLevel();
--- a/transport/rpcserver.cpp
+++ b/transport/rpcserver.cpp
@@ -95,7 +95,7 @@
         const int hops = params.getRequest().getHops();
         HttpRequest request = readRequest(params.getRequest());
         context.releaseParams();
-        context.allowCancellation(); // Then the caller's leaving destroys the sender, which tells the exchange.
+        context.allowCancellation(); // A cancelled call destroys the sender, which closes the exchange.
         ++m_served;
         auto end = kj::defer([this] { --m_served; });
         const ForwardHandler handler = m_handlers.forward();
@@ -115,7 +115,7 @@
     std::shared_ptr<LiveCalls<AnswerSender>> m_senders;
 };
 
-// What an unknown peer gets: nothing but the chance to prove that it knows the secret.
+// The interface for unauthenticated peers: it only lets them prove that they know the secret.
 class GateServer final : public Wire::Gate::Server
 {
 public:
@@ -130,7 +130,7 @@
     kj::Promise<void> hello(HelloContext context) override
     {
         if (!m_serverNonce.empty()) {
-            failRpc("one hello a connection");
+            failRpc("only one hello is allowed per connection");
         }
         m_clientNonce = context.getParams().getNonce().cStr();
         m_serverNonce = newNonce();
@@ -202,11 +202,11 @@
         const absl::MutexLock lock(&m_mutex);
         for (const auto &[prefix, candidate] : m_values) {
             if (name.starts_with(prefix)) {
-                handler = candidate; // Sorted: a longer prefix of the same name comes later.
+                handler = candidate; // The map is sorted: a longer prefix of the same name comes later.
             }
         }
     }
-    return handler ? handler(name) : Error { ErrorKind::NotFound, "no part of this node holds '" + name + "'" };
+    return handler ? handler(name) : Error { ErrorKind::NotFound, "this node serves no value '" + name + "'" };
 }
 
 Result<std::string> RpcHandlers::part(const std::string &name, const std::string &message) const
@@ -254,7 +254,8 @@
                 return kj::READY_NOW;
             },
             [this](kj::Exception &&exception) -> kj::Promise<void> {
-                // Such as too many open files: without the pause and the loop the node would take no peers until its restart.
+                // Accepting can fail for a while, for example with too many open files. Without the retry the node would accept no peers
+                // until its restart; the delay keeps the retries from using the processor all the time.
                 spdlog::warn("rpc: Could not accept a connection. {}", exception.getDescription().cStr());
                 return m_loop->timer().afterDelay(AcceptRetryDelay);
             })
@@ -283,7 +284,7 @@
                                          if (*isAuthenticated) {
                                              return kj::NEVER_DONE;
                                          }
-                                         spdlog::warn("rpc: Closed a connection whose peer did not prove that it knows the secret.");
+                                         spdlog::warn("rpc: Closed a connection whose peer did not authenticate in time.");
                                          return kj::READY_NOW;
                                      });
     return closed.exclusiveJoin(kj::mv(authenticationTimeout)).attach(kj::mv(connection));
--- a/transport/rpcserver.h
+++ b/transport/rpcserver.h
@@ -14,7 +14,7 @@
 namespace ApricotStep
 {
 
-/** What this node does for its peers. Set from any thread, used on the loop's. */
+/** The handlers for the calls of peers. Set from any thread, used on the loop's thread. */
 class RpcHandlers
 {
 public:
@@ -24,7 +24,7 @@
 
     Result<std::string> value(const std::string &name) const;
     Result<std::string> part(const std::string &name, const std::string &message) const;
-    /** Empty when none is set. */
+    /** Empty when no handler is set. */
     ForwardHandler forward() const;
 
 private:
@@ -34,14 +34,14 @@
     ForwardHandler m_forward ABSL_GUARDED_BY(m_mutex);
 };
 
-/** Accepts the connections of peers. Only on the loop's thread. */
+/** Accepts the connections of peers. Used only on the loop's thread. */
 class RpcServer final : private kj::TaskSet::ErrorHandler
 {
 public:
     RpcServer(const std::shared_ptr<RpcLoop> &loop, const NodeRpcSettings &settings, const RpcHandlers &handlers,
         kj::Maybe<kj::TlsContext &> tls, std::atomic<int> &served);
 
-    /** Rejected when the address cannot be had; else the port. */
+    /** Resolves to the port; rejected when the address cannot be bound. */
     kj::Promise<std::uint16_t> listen();
 
 private:
