--- a/tests/proxy/faults.h
+++ b/tests/proxy/faults.h
@@ -10,29 +10,29 @@
 namespace FaultProxy
 {
 
-/** What a proxy does to what passes. Everything is off at first; each field may change at any time. */
+/** The faults that a proxy causes. All are off initially; each field may change at any time. */
 struct Faults
 {
-    /** Delay of each part or datagram. */
+    /** Delay of each block of a stream, or of each datagram. */
     std::atomic<int> delayMs { 0 };
-    /** Ends a connection after so many bytes of answer; -1 never. */
+    /** Resets a connection after this many bytes of the answer; -1 means never. */
     std::atomic<std::int64_t> cutAnswerAfter { -1 };
-    /** Ends a connection after so many bytes of request; -1 never. */
+    /** Resets a connection after this many bytes of the request; -1 means never. */
     std::atomic<std::int64_t> cutRequestAfter { -1 };
-    /** Nothing passes, and nothing tells so. */
+    /** Nothing is passed on, and no error is signalled. */
     std::atomic<bool> isBlackHole { false };
-    /** The far side is closed while the near side stays open. */
+    /** The connection to the target is closed, or not opened, while the one to the caller stays open. */
     std::atomic<bool> isHalfOpen { false };
     /** Connections are reset. */
     std::atomic<bool> isReset { false };
-    /** Bytes a second; 0 is no limit. */
+    /** Limit in bytes per second; 0 means no limit. */
     std::atomic<int> maxBytesPerSecond { 0 };
-    /** Datagrams lost, doubled and held back behind later ones, in percent. */
+    /** Percentages of datagrams that are lost, duplicated, or held back behind later ones. */
     std::atomic<int> lossPercent { 0 };
     std::atomic<int> duplicatePercent { 0 };
     std::atomic<int> reorderPercent { 0 };
 
-    /** Everything off again. */
+    /** Turns all faults off. */
     void clear();
 };
 
--- a/tests/proxy/tcpproxy.cpp
+++ b/tests/proxy/tcpproxy.cpp
@@ -37,7 +37,7 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(milliseconds));
 }
 
-// Both sockets of one connection; closed when the last of its two threads is done with it.
+// Both sockets of one connection; closed when the last of its two threads has finished.
 struct Connection
 {
     int callerSocket = -1;
@@ -90,7 +90,7 @@
 
     void acceptLoop();
     void open(int socket, std::uint16_t peerPort);
-    // Passes bytes from one socket to the other until either ends or a fault says so.
+    // Passes bytes from one socket to the other until one of them closes or a fault ends the connection.
     void pump(const std::shared_ptr<Connection> &connection, bool isAnswer);
     bool pass(Connection &connection, int to, const char *data, std::size_t size);
     bool isBlocked(const Connection &connection) const;
--- a/tests/proxy/tcpproxy.h
+++ b/tests/proxy/tcpproxy.h
@@ -10,14 +10,18 @@
 namespace FaultProxy
 {
 
-/** Names the process at the other end of a connection to the proxy, by its port on this machine; empty when unknown. */
+/** Returns the name of the process at the other end of a connection to the proxy, by its port on this machine; empty when unknown. */
 using PeerName = std::function<std::string(std::uint16_t port)>;
 
-/** Passes TCP connections on to one target, with faults. Two threads a connection; for tests with at most a few hundred of them. */
+/**
+ * Passes TCP connections on to one target, with faults. Uses two threads per connection: for tests with a few hundred connections at most.
+ */
 class TcpProxy
 {
 public:
-    /** Listens on @p listenIp:@p port (0 picks one) and passes on to @p targetIp:@p targetPort of the process named @p targetName. */
+    /**
+     * Listens on @p listenIp:@p port (0 picks a free port) and passes on to @p targetIp:@p targetPort of the process named @p targetName.
+     */
     TcpProxy(const std::string &listenIp, std::uint16_t port, std::string targetIp, std::uint16_t targetPort, std::string targetName,
         const Partition &partition, PeerName peerName);
     ~TcpProxy();
--- a/tests/proxy/udpproxy.cpp
+++ b/tests/proxy/udpproxy.cpp
@@ -61,7 +61,7 @@
     std::atomic<bool> isStopping { false };
     std::thread thread;
     std::multimap<SteadyTime, PendingDatagram> pending;
-    // One socket towards the target for each sender, so that its answers find their way back.
+    // One socket towards the target for each sender, so that its answers can be returned.
     std::map<std::pair<std::uint32_t, std::uint16_t>, int> relays;
     std::map<int, sockaddr_in> senders;
 
@@ -163,7 +163,7 @@
     d->listener = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
     const sockaddr_in address = addressOf(listenIp, port);
     if (bind(d->listener, reinterpret_cast<const sockaddr *>(&address), sizeof address) != 0) {
-        throw std::runtime_error("proxy: cannot take datagrams on " + listenIp + ":" + std::to_string(port));
+        throw std::runtime_error("proxy: cannot receive datagrams on " + listenIp + ":" + std::to_string(port));
     }
     d->thread = std::thread([this] { d->loop(); });
 }
--- a/tests/proxy/udpproxy.h
+++ b/tests/proxy/udpproxy.h
@@ -10,14 +10,16 @@
 namespace FaultProxy
 {
 
-/** Names the process that a datagram came from, by its IP number; empty when unknown. */
+/** Returns the name of the process that sent a datagram, by its IP address; empty when unknown. */
 using SenderName = std::function<std::string(const std::string &ip)>;
 
-/** Passes datagrams on to one target, with faults. Answers that the target sends to the proxy go back to whom they are for. */
+/** Passes datagrams on to one target, with faults. Answers of the target are returned to the sender that they are for. */
 class UdpProxy
 {
 public:
-    /** Takes datagrams on @p listenIp:@p port for @p targetIp:@p port of the process named @p targetName. @p seed of losses and reorders.
+    /**
+     * Receives datagrams on @p listenIp:@p port for @p targetIp:@p port of the process named @p targetName. @p seed determines the random
+     * faults.
      */
     UdpProxy(const std::string &listenIp, std::uint16_t port, std::string targetIp, std::string targetName, const Partition &partition,
         SenderName senderName, std::uint64_t seed);
--- a/tests/standins/engine.cpp
+++ b/tests/standins/engine.cpp
@@ -36,7 +36,7 @@
     std::shared_ptr<HttpExchange> exchange;
 };
 
-// Batches continuously: each step gives every running request one token, and waiting ones join as places come free.
+// Continuous batching: each step gives every running request one token, and waiting requests join as soon as there is room.
 class Engine : public std::enable_shared_from_this<Engine>
 {
 public:
@@ -215,7 +215,7 @@
         }
     }
 
-    // The text names the adapter and echoes the prompt, so that a test sees whose answer it got.
+    // The text names the adapter and repeats the prompt, so that a test can tell whose answer it received.
     void token(Generation &generation)
     {
         const std::string word = generation.done == 0 ? generation.model + ":" + generation.prompt : " t" + std::to_string(generation.done);
@@ -247,7 +247,7 @@
     std::size_t m_loading = 0;
     std::atomic<int> m_failLoads { 0 };
     unsigned long long m_fencing = 0;
-    // How often generation began for each prompt; what was told 'not run' must not be here.
+    // How often generation began for each prompt. A request that was answered as not run must not be counted here.
     std::map<std::string, int> m_prompts;
     std::size_t m_steps = 0;
     std::size_t m_tokens = 0;
--- a/tests/standins/main.cpp
+++ b/tests/standins/main.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-// One thread that calls what is due; enough for stand-ins, whose callbacks are short.
+// Calls due callbacks on one thread, which is enough since the callbacks of the stand-ins are short.
 class Timer
 {
 public:
@@ -66,7 +66,7 @@
 
 void after(int milliseconds, std::function<void()> callback)
 {
-    static auto *timer = new Timer; // Never ends: its thread runs until the process does.
+    static auto *timer = new Timer; // Never destroyed: its thread runs until the process ends.
     timer->add(milliseconds, std::move(callback));
 }
 
--- a/tests/standins/platform.cpp
+++ b/tests/standins/platform.cpp
@@ -19,7 +19,7 @@
 
 constexpr int WatchStepMs = 50;
 
-// A load takes loadMs while no more than `parallel` are in flight and proportionally longer beyond.
+// A load takes loadMs while no more than `parallel` loads are in flight, and proportionally longer above that.
 struct Store
 {
     Options options;
@@ -47,8 +47,8 @@
     return json.is_object() ? json.value("version", std::uint64_t { 0 }) : 0;
 }
 
-// Hands out the files of a directory by name, as the configuration service does. /control switches it at run time:
-// down=1 breaks every call off, stale=1 keeps to the head of that moment, slow_ms=N delays every answer.
+// Serves the files of a directory by name, as the configuration service does. /control changes its behaviour at run time: down=1 aborts
+// every call, stale=1 keeps returning the current head, slow_ms=N delays every answer.
 struct Config
 {
     Options options;
@@ -66,7 +66,7 @@
         const std::lock_guard lock(mutex);
         return staleHead.empty() ? readFile(options.directory + "/head") : staleHead;
     }
-    // Counts a call, a waiting watch as one; false when it is over the limit.
+    // Counts a call, a waiting watch as one. Returns false when it exceeds the limit.
     bool admit()
     {
         const std::lock_guard lock(mutex);
@@ -100,7 +100,7 @@
     }
 };
 
-// Answers with the head as soon as it is newer than what the reader has, or when the wait is over.
+// Answers with the head as soon as it is newer than the reader's, or when the wait is over.
 void watch(const std::shared_ptr<Config> &config, std::uint64_t have, int leftMs, const std::shared_ptr<HttpExchange> &exchange)
 {
     const std::string text = config->head();
@@ -125,7 +125,7 @@
     respondJson(*exchange, text.empty() ? 404 : 200, text);
 }
 
-// Counts how often each keyed call ran, which is what a doubled payment shows in.
+// Counts how often each call with an idempotency key ran, so that a test can detect a payment that ran twice.
 struct Service
 {
     std::mutex mutex;
