--- a/tests/transport/testhttp.cpp
+++ b/tests/transport/testhttp.cpp
@@ -73,7 +73,8 @@
 
 Test(http, abortedStreamIsReportedAsFailed)
 {
-    // The engine dies in the middle of an answer. A caller whose connection ends cleanly would take half an assessment for all of it.
+    // The engine fails in the middle of an answer. If the connection ended cleanly, the caller would take half an answer for a complete
+    // one.
     const auto server = serve([](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) {
         exchange->beginStream(200, {});
         exchange->write("half");
@@ -118,7 +119,7 @@
 
 Test(http, callStoppedByMaySendIsReportedAsNotSent)
 {
-    // A node is paused between its decision and the sending, and wakes after the deadline. It must not send then.
+    // A node is suspended between its decision and the sending, and resumes after the deadline. It must not send then.
     std::atomic<int> count { 0 };
     const auto server = serve([&](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) {
         ++count;
--- a/tests/transport/testnoderpc.cpp
+++ b/tests/transport/testnoderpc.cpp
@@ -47,7 +47,7 @@
     return result;
 }
 
-// A caller in the test: takes the answer, as slowly as it is told.
+// A caller that reads the answer as slowly as the test demands.
 class FakeCaller final : public HttpExchange
 {
 public:
@@ -172,7 +172,7 @@
     return request;
 }
 
-// A port that takes connections and never says anything, as a process under SIGSTOP does.
+// A port that accepts connections and never sends anything, like a process under SIGSTOP.
 struct UnresponsivePort
 {
     UnresponsivePort()
@@ -218,7 +218,7 @@
 
 Test(noderpc, peerWithoutSecretIsRefused)
 {
-    // Somebody on the network connects to the node port. Without the fleet's secret it must neither read values nor pass requests.
+    // Anyone on the network can connect to the node port. Without the fleet's secret a peer must neither read values nor forward requests.
     const auto unauthorizedNode = startRpc("another secret");
     const auto node = startRpc();
     std::atomic<int> served { 0 };
@@ -232,7 +232,7 @@
 
 Test(noderpc, unresponsivePeerTimesOut)
 {
-    // A peer's process is paused. Its kernel still takes connections, so that callers would wait for ever without a limit.
+    // The process of a peer is suspended. Its kernel still accepts connections, so callers would wait forever without a timeout.
     const UnresponsivePort unresponsive;
     const auto node = startRpc("a secret of the fleet", Duration(200));
     cr_assert(fetch(*node, unresponsive.text, "x").error().kind == ErrorKind::PeerUnreachable);
@@ -286,7 +286,7 @@
 
 Test(noderpc, slowCallerAppliesBackpressureToOwner)
 {
-    // A caller on a bad line reads slowly. The answer must wait at the engine, not pile up in the memory of two nodes.
+    // A caller on a slow connection reads slowly. The answer must wait at the engine and not accumulate in the memory of two nodes.
     constexpr std::size_t Whole = 8U << 20U;
     constexpr std::size_t Bound = 1U << 20U;
     const std::string block(16U << 10U, 'x');
@@ -312,7 +312,7 @@
     front->forward(addressOf(*owner), sampleRequest(), 1, caller, failIfNotSent);
     cr_assert(caller->waitForBytes(block.size()));
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
-    cr_assert_lt(written, Bound, "the owner went on writing");
+    cr_assert_lt(written, Bound, "the owner continued to write");
     caller->setSlow(false);
     caller->waitForEnd();
     cr_assert_eq(caller->size(), Whole);
@@ -320,7 +320,8 @@
 
 Test(noderpc, callerDisconnectCancelsAtOwner)
 {
-    // A manager closes the page. The engine at the other node must stop generating, or the batch fills with answers for nobody.
+    // A caller closes the page and disconnects. The engine at the other node must stop generating, or its batch fills with answers that
+    // nobody reads.
     const auto front = startRpc();
     const auto owner = startRpc();
     absl::Notification gone;
@@ -338,7 +339,7 @@
 
 Test(noderpc, ownerLostDuringAnswerIsReportedAsStreamCut)
 {
-    // The owner's VM is replaced without warning in the middle of an answer. The caller must see that it broke off, and that the
+    // The owner's VM is replaced without warning in the middle of an answer. The caller must see that the answer was cut and that the
     // request may have run.
     const auto front = startRpc();
     auto owner = startRpc();
--- a/tests/transport/testserverlimits.cpp
+++ b/tests/transport/testserverlimits.cpp
@@ -39,7 +39,7 @@
     {
         send(m_socket, text.data(), text.size(), MSG_NOSIGNAL);
     }
-    // All that comes until the server closes.
+    // Everything that is received until the server closes the connection.
     std::string readAll() const
     {
         std::string all;
@@ -94,8 +94,8 @@
 
 Test(serverlimits, incompleteRequestTimesOutWith408)
 {
-    // A sender opens connections and drips a byte now and then. Without a bound on the whole arrival it would hold them all, and real
-    // callers could not connect.
+    // A sender opens connections and transmits one byte now and then. Without a limit on the arrival of the whole request it would hold all
+    // connections, and callers could not connect.
     std::atomic<int> count { 0 };
     HttpServerSettings settings;
     settings.arrivalTimeout = Duration(300);
@@ -149,7 +149,7 @@
 
 Test(serverlimits, tlsCertificateIsReloadedWithoutRestart)
 {
-    // A certificate runs out. If taking a new one needed a restart, every renewal would cut off the requests in progress.
+    // A certificate expires. If replacing it needed a restart, every renewal would cut off the requests in progress.
     const auto folder = std::filesystem::temp_directory_path() / ("apricotstep-tls-" + std::to_string(getpid()));
     std::filesystem::create_directories(folder);
     const std::string first = makeCertificate(folder, "first");
