--- a/main/callerfrontend.cpp
+++ b/main/callerfrontend.cpp
@@ -30,7 +30,7 @@
 constexpr std::int64_t MaxDeadlineMs = 86'400'000;
 
 // A forwarded request names a version that another node's configuration has: this one is behind, and the caller made no mistake.
-Error unknownHere(const Error &error)
+Error asNotReady(const Error &error)
 {
     if (error.kind != ErrorKind::UnknownSelector) {
         return error;
@@ -47,15 +47,15 @@
 
 struct CallerFrontend::Private final : CompletionRouter
 {
-    explicit Private(const FrontendParts &allParts)
-        : parts(allParts)
-        , placer(allParts.self, allParts.zone, allParts.clock, allParts.health, allParts.incarnation.value())
+    explicit Private(const FrontendContext &aContext)
+        : context(aContext)
+        , placer(aContext.self, aContext.zone, aContext.clock, aContext.health, aContext.incarnation.value())
         , log(componentLogger("caller"))
-        , forwarder(allParts.peers, allParts.metrics)
+        , forwarder(aContext.peers, aContext.metrics)
     {
     }
 
-    FrontendParts parts;
+    FrontendContext context;
     EnginePlacer placer;
     Logger log;
     LogRateLimiter logRateLimiter;
@@ -72,27 +72,27 @@
     std::string requestId(RequestId id) const;
     void refuse(HttpExchange &exchange, const Error &error, const std::string &id, const std::string &address = {});
     std::shared_ptr<EngineRunner> engine(const UpstreamSpec &spec);
-    void takeOwnedEngines();
+    void createOwnedRunners();
     int depthOf(const UpstreamId &id) const;
-    std::optional<Candidate> choose(const PlaceRequest &request, const Placement &placement);
+    std::optional<Candidate> choose(const PlacementRequest &request, const Placement &placement);
     bool hasOther(const CompletionJob &job, const UpstreamId &failed) override;
     void routeToOther(CompletionJob job) override;
     Result<WorkItem> workItem(const HttpRequest &request, const CompletionRequest &completion, RequestId id) const;
     void completion(const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange, int hops, const Catalog &catalog,
         const std::shared_ptr<const Placement> &placement);
     bool isClosed() const;
-    bool runHere(CompletionJob &job, bool isForwarded, const Placement &placement);
-    void passOn(CompletionJob job, const HttpRequest &request, const std::shared_ptr<const Placement> &placement,
+    bool runLocally(CompletionJob &job, bool isForwarded, const Placement &placement);
+    void forwardToOwner(CompletionJob job, const HttpRequest &request, const std::shared_ptr<const Placement> &placement,
         const std::optional<Candidate> &first);
     void address(const HttpRequest &request, HttpExchange &exchange, const Catalog &catalog, const Placement &placement);
     void service(HttpRequest request, const std::shared_ptr<HttpExchange> &exchange, int hops,
         const std::shared_ptr<const Catalog> &catalog, const std::shared_ptr<const FleetView> &fleet);
-    void passOnKeyed(const ServiceJob &job, const IdempotencyKey &key);
+    void forwardKeyed(const ServiceJob &job, const IdempotencyKey &key);
 };
 
 std::string CallerFrontend::Private::requestId(RequestId id) const
 {
-    return parts.self.value() + "-" + std::to_string(parts.incarnation.value()) + "-" + std::to_string(id.value());
+    return context.self.value() + "-" + std::to_string(context.incarnation.value()) + "-" + std::to_string(id.value());
 }
 
 void CallerFrontend::Private::refuse(HttpExchange &exchange, const Error &error, const std::string &id, const std::string &address)
@@ -102,7 +102,7 @@
     details.requestId = id;
     details.address = address;
     const std::string_view code = errorAnswer(error.kind).code;
-    if (const auto suppressedCount = logRateLimiter.admit(std::string(code), parts.clock.now())) {
+    if (const auto suppressedCount = logRateLimiter.admit(std::string(code), context.clock.now())) {
         log->info("[{}] outcome={} detail='{}'{}", id, code, error.detail,
             *suppressedCount == 0 ? std::string() : " left_out=" + std::to_string(*suppressedCount));
     }
@@ -115,24 +115,25 @@
     auto &runner = engines[spec.id];
     if (runner == nullptr) {
         runner = std::make_shared<EngineRunner>(spec,
-            EngineParts { parts.settings, parts.client, parts.clock, parts.metrics, parts.health, *this, parts.ownership, parts.permits });
+            EngineContext { context.settings, context.client, context.clock, context.metrics, context.health, *this, context.ownership,
+                context.permits });
     }
     return runner;
 }
 
 // An engine's ownership begins with its runner. Taken over only with its first request, the engine would keep that one waiting.
-void CallerFrontend::Private::takeOwnedEngines()
+void CallerFrontend::Private::createOwnedRunners()
 {
-    const auto catalog = parts.catalog.get();
-    const auto fleet = parts.fleet.get();
-    if (parts.ownership == nullptr || catalog == nullptr || fleet == nullptr || (catalog == lastCatalog && fleet == lastFleet)) {
+    const auto catalog = context.catalog.get();
+    const auto fleet = context.fleet.get();
+    if (context.ownership == nullptr || catalog == nullptr || fleet == nullptr || (catalog == lastCatalog && fleet == lastFleet)) {
         return;
     }
     lastCatalog = catalog;
     lastFleet = fleet;
     for (const UpstreamSpec &spec : catalog->upstreams()) {
         const NodeView *owner = spec.kind == UpstreamKind::Engine ? ownerOf(spec.id, spec.zone, fleet->nodes) : nullptr;
-        if (owner != nullptr && owner->id == parts.self) {
+        if (owner != nullptr && owner->id == context.self) {
             engine(spec);
         }
     }
@@ -149,14 +150,14 @@
     return runner == nullptr ? 0 : runner->depth();
 }
 
-std::optional<Candidate> CallerFrontend::Private::choose(const PlaceRequest &request, const Placement &placement)
+std::optional<Candidate> CallerFrontend::Private::choose(const PlacementRequest &request, const Placement &placement)
 {
     return placer.choose(request, placement, [this](const UpstreamId &id) { return depthOf(id); });
 }
 
 bool CallerFrontend::Private::hasOther(const CompletionJob &job, const UpstreamId &failed)
 {
-    const auto placement = placer.placement(parts.catalog.get(), parts.fleet.get());
+    const auto placement = placer.placement(context.catalog.get(), context.fleet.get());
     std::vector<UpstreamId> tried = job.tried;
     tried.push_back(failed);
     return choose({ job.work.adapter, std::move(tried), false, job.hops == 0 }, *placement).has_value();
@@ -164,9 +165,9 @@
 
 void CallerFrontend::Private::routeToOther(CompletionJob job)
 {
-    const auto placement = placer.placement(parts.catalog.get(), parts.fleet.get());
+    const auto placement = placer.placement(context.catalog.get(), context.fleet.get());
     const auto place = choose({ job.work.adapter, job.tried, false, job.hops == 0 }, *placement);
-    if (place && place->owner->id == parts.self) {
+    if (place && place->owner->id == context.self) {
         engine(*place->upstream)->submit(std::move(job));
         return;
     }
@@ -176,14 +177,14 @@
     request.path = job.path;
     request.headers["x-priority"] = PriorityNames[static_cast<std::size_t>(job.work.priority)];
     request.body = job.body;
-    passOn(std::move(job), request, placement, place);
+    forwardToOwner(std::move(job), request, placement, place);
 }
 
 Result<WorkItem> CallerFrontend::Private::workItem(const HttpRequest &request, const CompletionRequest &completion, RequestId id) const
 {
     WorkItem work;
     work.id = id;
-    work.arrival = parts.clock.now();
+    work.arrival = context.clock.now();
     const std::string priority = request.header("x-priority");
     if (!priority.empty()) {
         const auto parsed = parsePriority(priority);
@@ -192,7 +193,7 @@
         }
         work.priority = parsed.value();
     }
-    Duration allowed = parts.settings.duration(DeadlineSettings[static_cast<std::size_t>(work.priority)]);
+    Duration allowed = context.settings.duration(DeadlineSettings[static_cast<std::size_t>(work.priority)]);
     const std::string deadline = request.header("x-deadline-ms");
     if (!deadline.empty()) {
         std::int64_t milliseconds = 0;
@@ -210,16 +211,16 @@
 
 bool CallerFrontend::Private::isClosed() const
 {
-    return parts.clock.now().milliseconds() > lingerUntilMs;
+    return context.clock.now().milliseconds() > lingerUntilMs;
 }
 
-bool CallerFrontend::Private::runHere(CompletionJob &job, bool isForwarded, const Placement &placement)
+bool CallerFrontend::Private::runLocally(CompletionJob &job, bool isForwarded, const Placement &placement)
 {
     if (isClosed()) {
         return false;
     }
     const auto place = choose({ job.work.adapter, job.tried, isForwarded }, placement);
-    if (!place || place->owner->id != parts.self) {
+    if (!place || place->owner->id != context.self) {
         return false;
     }
     if (job.inProgress == nullptr) {
@@ -231,37 +232,37 @@
 
 // Asks the owner of @p first and then those of the adapter's other engines, best first. When none can be reached and nothing left, an
 // engine of this node's own may still serve it.
-void CallerFrontend::Private::passOn(
+void CallerFrontend::Private::forwardToOwner(
     CompletionJob job, const HttpRequest &request, const std::shared_ptr<const Placement> &placement, const std::optional<Candidate> &first)
 {
     ForwardJob forward;
-    if (first && first->owner->id != parts.self) {
+    if (first && first->owner->id != context.self) {
         forward.targets.push_back(*first->owner);
     }
     for (const Candidate &place : placement->candidates(job.work.adapter)) {
         const auto isSame = [&](const NodeView &target) { return target.id == place.owner->id; };
-        if (place.owner->id != parts.self && std::none_of(forward.targets.begin(), forward.targets.end(), isSame)) {
+        if (place.owner->id != context.self && std::none_of(forward.targets.begin(), forward.targets.end(), isSame)) {
             forward.targets.push_back(*place.owner);
         }
     }
     const std::string address = forward.targets.empty() ? std::string() : forward.targets.front().callerAddress;
-    forward.request = forwardedRequest(request, job.work, parts.clock.now());
+    forward.request = forwardedRequest(request, job.work, context.clock.now());
     // The request is bound to what it resolved to here. With its selector it would resolve again at the owner, whose configuration may be
     // an older one, and the caller would get an answer of an adapter version that it did not ask for.
     forward.request.body = job.body;
     forward.hops = job.hops;
     forward.exchange = job.exchange;
     forward.requestId = job.requestId;
-    forward.onNoneReached = [this, address, placement, job = std::move(job)](const Error &error) {
-        CompletionJob own = job;
-        if (runHere(own, true, *placement)) {
+    forward.onNotForwarded = [this, address, placement, job = std::move(job)](const Error &error) {
+        CompletionJob localJob = job;
+        if (runLocally(localJob, true, *placement)) {
             return;
         }
         const ErrorKind kind = error.kind == ErrorKind::TooManyHops ? ErrorKind::TooManyHops
             : isClosed()                                            ? ErrorKind::Draining
             : address.empty()                                       ? ErrorKind::NoUpstream
                                                                     : ErrorKind::WrongNode;
-        parts.metrics.completionFailed(job.work.priority, kind);
+        context.metrics.completionFailed(job.work.priority, kind);
         refuse(*job.exchange, { kind, error.detail }, job.requestId, address);
     };
     forwarder.forward(std::move(forward));
@@ -279,7 +280,7 @@
     }
     const auto adapter = catalog.resolve(parsed.value().selector);
     if (!adapter.isOk()) {
-        refuse(*exchange, hops > 0 ? unknownHere(adapter.error()) : adapter.error(), idText);
+        refuse(*exchange, hops > 0 ? asNotReady(adapter.error()) : adapter.error(), idText);
         return;
     }
     auto work = workItem(request, parsed.value(), id);
@@ -289,7 +290,7 @@
     }
     work.value().adapter = adapter.value();
     if (placement->candidates(adapter.value()).empty()) {
-        parts.metrics.completionFailed(work.value().priority, ErrorKind::NoUpstream);
+        context.metrics.completionFailed(work.value().priority, ErrorKind::NoUpstream);
         refuse(*exchange, { ErrorKind::NoUpstream, {} }, idText);
         return;
     }
@@ -304,14 +305,14 @@
     job.exchange = exchange;
     job.hops = hops;
     // At its home a request counts as demand wherever it runs, so that a spread over other nodes' engines does not hide it.
-    if (placement->candidates(adapter.value()).front().owner->id == parts.self) {
+    if (placement->candidates(adapter.value()).front().owner->id == context.self) {
         job.inProgress = placer.begin(adapter.value());
     }
     const auto place = isClosed() ? std::nullopt : choose({ adapter.value(), {}, hops > 0, hops == 0 }, *placement);
-    if (place && place->owner->id == parts.self) {
+    if (place && place->owner->id == context.self) {
         engine(*place->upstream)->submit(std::move(job));
     } else {
-        passOn(std::move(job), request, placement, place);
+        forwardToOwner(std::move(job), request, placement, place);
     }
 }
 
@@ -328,7 +329,7 @@
     AddressAnswer answer;
     answer.adapter = adapter.value();
     answer.version = catalog.version();
-    answer.keepFor = parts.settings.duration("callers.address_keep_ms");
+    answer.keepFor = context.settings.duration("callers.address_keep_ms");
     for (const Candidate &candidate : placement.candidates(adapter.value())) {
         const NodeView &owner = *candidate.owner;
         if (isExplained) {
@@ -336,7 +337,7 @@
         }
         const bool isListed =
             std::any_of(answer.choices.begin(), answer.choices.end(), [&](const auto &choice) { return choice.node == owner.id; });
-        if (!isListed && !(isDraining && owner.id == parts.self) && answer.choices.size() < MaxAddresses) {
+        if (!isListed && !(isDraining && owner.id == context.self) && answer.choices.size() < MaxAddresses) {
             answer.choices.push_back({ owner.id, owner.zone, owner.callerAddress });
         }
     }
@@ -345,19 +346,19 @@
         return;
     }
     if (request.parameter("once") == "1") {
-        answer.key = parts.services.oneTimeRequests().mintKey();
+        answer.key = context.services.oneTimeRequests().mintKey();
     }
     respondJson(exchange, addressBody(answer));
 }
 
 // To the successors of the start that minted the key, then to its node. Whoever cannot be asked may have run it.
-void CallerFrontend::Private::passOnKeyed(const ServiceJob &job, const IdempotencyKey &key)
+void CallerFrontend::Private::forwardKeyed(const ServiceJob &job, const IdempotencyKey &key)
 {
     ForwardJob forward;
-    std::vector<NodeId> nodes = parts.services.oneTimeRequests().successors(key);
+    std::vector<NodeId> nodes = context.services.oneTimeRequests().successors(key);
     nodes.push_back(key.node);
     for (const NodeId &id : nodes) {
-        const NodeView *node = id == parts.self ? nullptr : job.fleet->node(id);
+        const NodeView *node = id == context.self ? nullptr : job.fleet->node(id);
         if (node != nullptr) {
             forward.targets.push_back(*node);
         }
@@ -370,8 +371,8 @@
     forward.hops = job.hops;
     forward.exchange = job.exchange;
     forward.requestId = job.requestId;
-    forward.onNoneReached = [this, exchange = job.exchange, id = job.requestId, address = forward.targets.front().callerAddress](
-                                const Error &error) {
+    forward.onNotForwarded = [this, exchange = job.exchange, id = job.requestId, address = forward.targets.front().callerAddress](
+                                 const Error &error) {
         refuse(*exchange, { ErrorKind::OwnerUnreachable, error.detail }, id, address);
     };
     forwarder.forward(std::move(forward));
@@ -391,12 +392,12 @@
     job.catalog = catalog;
     job.fleet = fleet;
     job.hops = hops;
-    job.passOn = [this](const ServiceJob &foreign, const IdempotencyKey &key) { passOnKeyed(foreign, key); };
-    parts.services.submit(std::move(job));
+    job.forwardToOwner = [this](const ServiceJob &foreign, const IdempotencyKey &key) { forwardKeyed(foreign, key); };
+    context.services.submit(std::move(job));
 }
 
-CallerFrontend::CallerFrontend(const FrontendParts &parts)
-    : d(std::make_unique<Private>(parts))
+CallerFrontend::CallerFrontend(const FrontendContext &context)
+    : d(std::make_unique<Private>(context))
 {
 }
 
@@ -404,13 +405,13 @@
 
 void CallerFrontend::handle(HttpRequest request, const std::shared_ptr<HttpExchange> &exchange, int hops)
 {
-    const auto catalog = d->parts.catalog.get();
-    const auto fleet = d->parts.fleet.get();
+    const auto catalog = d->context.catalog.get();
+    const auto fleet = d->context.fleet.get();
     const std::string &path = request.path;
     if (catalog == nullptr || fleet == nullptr) {
         if (path == "/v1/chat/completions" || path == "/v1/completions") {
             const auto priority = parsePriority(request.header("x-priority"));
-            d->parts.metrics.completionFailed(priority.isOk() ? priority.value() : Priority::Standard, ErrorKind::NotReady);
+            d->context.metrics.completionFailed(priority.isOk() ? priority.value() : Priority::Standard, ErrorKind::NotReady);
         }
         d->refuse(*exchange, { ErrorKind::NotReady, {} }, {});
     } else if (path == "/v1/chat/completions" || path == "/v1/completions") {
@@ -427,7 +428,7 @@
     } else if (path == "/v1/address") {
         d->address(request, *exchange, *catalog, *d->placer.placement(catalog, fleet));
     } else if (path == "/v1/keys" && request.method == "POST") {
-        respondJson(*exchange, keyBody(d->parts.services.oneTimeRequests().mintKey(), d->parts.settings.duration("keys.lifetime_ms")));
+        respondJson(*exchange, keyBody(d->context.services.oneTimeRequests().mintKey(), d->context.settings.duration("keys.lifetime_ms")));
     } else if (path == "/v1/models") {
         respondJson(*exchange, modelsBody(*catalog, MaxModelsListed));
     } else {
@@ -456,7 +457,7 @@
 
 void CallerFrontend::tick()
 {
-    d->takeOwnedEngines();
+    d->createOwnedRunners();
     std::vector<std::shared_ptr<EngineRunner>> runners;
     {
         const absl::MutexLock lock(&d->mutex);
--- a/main/callerfrontend.h
+++ b/main/callerfrontend.h
@@ -12,7 +12,7 @@
 {
 
 /** What the caller interface needs of the rest of the node. All must outlive it. */
-struct FrontendParts
+struct FrontendContext
 {
     NodeId self;
     Incarnation incarnation;
@@ -36,7 +36,7 @@
 class CallerFrontend
 {
 public:
-    explicit CallerFrontend(const FrontendParts &parts);
+    explicit CallerFrontend(const FrontendContext &context);
     ~CallerFrontend();
 
     /** Takes a request of the caller port, or one that another node forwarded; @p hops: forwards so far. */
--- a/main/helddispatches.cpp
+++ b/main/deferredactions.cpp
@@ -1,4 +1,4 @@
-#include "main/helddispatches.h"
+#include "main/deferredactions.h"
 
 #include <algorithm>
 #include <utility>
@@ -6,27 +6,27 @@
 namespace ApricotStep
 {
 
-void HeldDispatches::addDispatch(RequestId id)
+void DeferredActions::addDispatch(RequestId id)
 {
     const absl::MutexLock lock(&m_mutex);
     m_dispatches.push_back(id);
 }
 
-void HeldDispatches::addLoad(const AdapterKey &adapter, Time since)
+void DeferredActions::addLoad(const AdapterKey &adapter, Time since)
 {
     const absl::MutexLock lock(&m_mutex);
-    if (std::none_of(m_loads.begin(), m_loads.end(), [&](const HeldLoad &load) { return load.adapter == adapter; })) {
+    if (std::none_of(m_loads.begin(), m_loads.end(), [&](const DeferredLoad &load) { return load.adapter == adapter; })) {
         m_loads.push_back({ adapter, since });
     }
 }
 
-std::vector<RequestId> HeldDispatches::takeDispatches()
+std::vector<RequestId> DeferredActions::takeDispatches()
 {
     const absl::MutexLock lock(&m_mutex);
     return std::exchange(m_dispatches, {});
 }
 
-std::vector<HeldLoad> HeldDispatches::takeLoads()
+std::vector<DeferredLoad> DeferredActions::takeLoads()
 {
     const absl::MutexLock lock(&m_mutex);
     return std::exchange(m_loads, {});
--- a/main/helddispatches.h
+++ b/main/deferredactions.h
@@ -11,26 +11,26 @@
 namespace ApricotStep
 {
 
-struct HeldLoad
+struct DeferredLoad
 {
     AdapterKey adapter;
     Time since;
 };
 
 /** What the scheduler decided and the ownership of the engine does not allow yet. Thread-safe. */
-class HeldDispatches
+class DeferredActions
 {
 public:
     void addDispatch(RequestId id);
     /** An adapter that is held already stays as it is. */
     void addLoad(const AdapterKey &adapter, Time since);
     std::vector<RequestId> takeDispatches();
-    std::vector<HeldLoad> takeLoads();
+    std::vector<DeferredLoad> takeLoads();
 
 private:
     absl::Mutex m_mutex;
     std::vector<RequestId> m_dispatches ABSL_GUARDED_BY(m_mutex);
-    std::vector<HeldLoad> m_loads ABSL_GUARDED_BY(m_mutex);
+    std::vector<DeferredLoad> m_loads ABSL_GUARDED_BY(m_mutex);
 };
 
 } // namespace ApricotStep
--- a/main/pausedwork.cpp
+++ b/main/delayedtasks.cpp
@@ -1,4 +1,4 @@
-#include "main/pausedwork.h"
+#include "main/delayedtasks.h"
 
 #include <algorithm>
 #include <iterator>
@@ -6,13 +6,13 @@
 namespace ApricotStep
 {
 
-void PausedWork::add(Time due, std::function<void()> work)
+void DelayedTasks::add(Time due, std::function<void()> task)
 {
     const absl::MutexLock lock(&m_mutex);
-    m_entries.push_back({ due, std::move(work) });
+    m_entries.push_back({ due, std::move(task) });
 }
 
-void PausedWork::run(Time now)
+void DelayedTasks::run(Time now)
 {
     std::vector<Entry> due;
     {
@@ -22,7 +22,7 @@
         m_entries.erase(firstDue, m_entries.end());
     }
     for (const Entry &entry : due) {
-        entry.work();
+        entry.task();
     }
 }
 
--- a/main/pausedwork.h
+++ b/main/delayedtasks.h
@@ -12,10 +12,10 @@
 {
 
 /** Work that waits for a moment, such as a further attempt after its pause. Thread-safe. */
-class PausedWork
+class DelayedTasks
 {
 public:
-    void add(Time due, std::function<void()> work);
+    void add(Time due, std::function<void()> task);
     /** Runs what is due, outside the lock. */
     void run(Time now);
 
@@ -23,7 +23,7 @@
     struct Entry
     {
         Time due;
-        std::function<void()> work;
+        std::function<void()> task;
     };
 
     absl::Mutex m_mutex;
--- a/main/enginejobs.h
+++ b/main/enginejobs.h
@@ -28,11 +28,11 @@
     EngineReply reply;
     Time dispatchedAt;
     /** How often the engine was known to have lost its adapters when this was dispatched. */
-    std::uint64_t losses = 0;
+    std::uint64_t adapterLossCount = 0;
     /** Requests that ran there when this was dispatched, itself included. */
     int inFlight = 0;
     std::atomic<CallId> call { 0 };
-    std::atomic<bool> isGone { false };
+    std::atomic<bool> isCallerGone { false };
 };
 
 using EngineJobPointer = std::shared_ptr<EngineJob>;
--- a/main/engineplacer.cpp
+++ b/main/engineplacer.cpp
@@ -28,15 +28,15 @@
     UpstreamHealth &health;
     absl::Mutex placementMutex;
     std::shared_ptr<const Placement> current ABSL_GUARDED_BY(placementMutex);
-    absl::Mutex heatMutex;
-    HotSpread spread ABSL_GUARDED_BY(heatMutex) { SpreadLimits {} };
-    std::mt19937_64 random ABSL_GUARDED_BY(heatMutex);
+    absl::Mutex spreadMutex;
+    HotSpread spread ABSL_GUARDED_BY(spreadMutex) { SpreadLimits {} };
+    std::mt19937_64 random ABSL_GUARDED_BY(spreadMutex);
 
-    ReplicaView view(const Candidate &candidate, const PlaceRequest &request, const DepthOf &depthOf) const;
+    ReplicaView view(const Candidate &candidate, const PlacementRequest &request, const DepthOf &depthOf) const;
 };
 
 // Unless it takes the request as forwarded, the owner of another engine would send it back here, to the home of the adapter.
-ReplicaView EnginePlacer::Private::view(const Candidate &candidate, const PlaceRequest &request, const DepthOf &depthOf) const
+ReplicaView EnginePlacer::Private::view(const Candidate &candidate, const PlacementRequest &request, const DepthOf &depthOf) const
 {
     const UpstreamId &id = candidate.upstream->id;
     const bool isOwn = candidate.owner->id == self;
@@ -67,25 +67,25 @@
         }
     }
     // Two threads may do this at once; both come to the same result.
-    auto made = std::make_shared<const Placement>(catalog, fleet);
+    auto created = std::make_shared<const Placement>(catalog, fleet);
     std::vector<UpstreamId> upstreams;
     for (const UpstreamSpec &upstream : catalog->upstreams()) {
         upstreams.push_back(upstream.id);
     }
     d->health.setUpstreams(catalog->version(), upstreams);
     const absl::MutexLock lock(&d->placementMutex);
-    d->current = made;
-    return made;
+    d->current = created;
+    return created;
 }
 
-std::optional<Candidate> EnginePlacer::choose(const PlaceRequest &request, const Placement &placement, const DepthOf &depthOf)
+std::optional<Candidate> EnginePlacer::choose(const PlacementRequest &request, const Placement &placement, const DepthOf &depthOf)
 {
     const std::vector<Candidate> candidates = placement.candidates(request.adapter);
     if (candidates.empty()) {
         return std::nullopt;
     }
-    const bool isHome = candidates.front().owner->id == d->self;
-    if (!isHome && !request.isForwarded && request.tried.empty()) {
+    const bool ownsPreferred = candidates.front().owner->id == d->self;
+    if (!ownsPreferred && !request.isForwarded && request.tried.empty()) {
         return candidates.front();
     }
     std::vector<ReplicaView> views;
@@ -93,7 +93,7 @@
     for (const Candidate &candidate : candidates) {
         views.push_back(d->view(candidate, request, depthOf));
     }
-    const absl::MutexLock lock(&d->heatMutex);
+    const absl::MutexLock lock(&d->spreadMutex);
     const double width = d->spread.width(request.adapter, d->clock.now());
     const auto chosen = chooseReplica(views, width, d->random);
     return chosen ? std::optional(candidates[*chosen]) : std::nullopt;
@@ -102,11 +102,11 @@
 std::shared_ptr<void> EnginePlacer::begin(const AdapterKey &adapter)
 {
     {
-        const absl::MutexLock lock(&d->heatMutex);
+        const absl::MutexLock lock(&d->spreadMutex);
         d->spread.onArrival(adapter, d->clock.now());
     }
     return std::shared_ptr<void>(d.get(), [self = d.get(), adapter](void *) {
-        const absl::MutexLock lock(&self->heatMutex);
+        const absl::MutexLock lock(&self->spreadMutex);
         self->spread.onEnd(adapter, self->clock.now());
     });
 }
--- a/main/engineplacer.h
+++ b/main/engineplacer.h
@@ -13,7 +13,7 @@
 {
 
 /** What a request needs a place for. */
-struct PlaceRequest
+struct PlacementRequest
 {
     AdapterKey adapter;
     /** Engines that failed it. */
@@ -42,7 +42,7 @@
      * The engine for @p request. One of another node only when that node is the home of the adapter or the request may be forwarded. Empty
      * when no engine can take it now.
      */
-    std::optional<Candidate> choose(const PlaceRequest &request, const Placement &placement, const DepthOf &depthOf);
+    std::optional<Candidate> choose(const PlacementRequest &request, const Placement &placement, const DepthOf &depthOf);
     /** Counts a completion for @p adapter as in progress until what it returns is released; this must outlive that. */
     std::shared_ptr<void> begin(const AdapterKey &adapter);
 
--- a/main/enginereply.cpp
+++ b/main/enginereply.cpp
@@ -39,7 +39,7 @@
         }
         // An answer that names another attempt belongs to another request: a caller would read someone else's answer.
         if (name == "x-attempt-id" && value != m_attemptId) {
-            m_isForeign = true;
+            m_isFromOtherAttempt = true;
         }
     }
 }
@@ -54,7 +54,7 @@
     if (m_firstByteAt == Time()) {
         m_firstByteAt = now;
     }
-    if (m_isForeign || m_isTooLarge) {
+    if (m_isFromOtherAttempt || m_isTooLarge) {
         return true;
     }
     if (!isStreaming()) {
@@ -65,8 +65,8 @@
         return true;
     }
     // Begun with the first byte and not with the head: an engine that dies in between can still be replaced unseen.
-    if (!m_isBegun) {
-        m_isBegun = true;
+    if (!m_isStreamStarted) {
+        m_isStreamStarted = true;
         HttpHeaders answer = m_headers;
         answer.emplace_back("Content-Type", m_contentType);
         answer.emplace_back("Cache-Control", "no-store");
@@ -81,7 +81,7 @@
 
 ReplyEnd EngineReply::end(const CallResult &result) const
 {
-    if (m_isForeign) {
+    if (m_isFromOtherAttempt) {
         return failed(AttemptPhase::Unknown, ErrorKind::UpstreamFailed, "the answer belonged to another attempt");
     }
     if (m_isTooLarge) {
@@ -106,7 +106,7 @@
 
 void EngineReply::deliver()
 {
-    if (m_isBegun) {
+    if (m_isStreamStarted) {
         m_exchange->finish();
         return;
     }
@@ -115,7 +115,7 @@
     m_exchange->respond(m_status, headers, std::move(m_body));
 }
 
-void EngineReply::breakOff(const std::string &requestId, const std::string &detail)
+void EngineReply::abortStream(const std::string &requestId, const std::string &detail)
 {
     ErrorDetails details;
     details.requestId = requestId;
@@ -126,12 +126,12 @@
 
 bool EngineReply::hasSentToCaller() const
 {
-    return m_isBegun;
+    return m_isStreamStarted;
 }
 
-bool EngineReply::isForeign() const
+bool EngineReply::isFromOtherAttempt() const
 {
-    return m_isForeign;
+    return m_isFromOtherAttempt;
 }
 
 bool EngineReply::isTooLarge() const
--- a/main/enginereply.h
+++ b/main/enginereply.h
@@ -14,7 +14,7 @@
 struct ReplyEnd
 {
     /** The caller can have the whole answer; else @p failure says why not. */
-    bool isWhole = false;
+    bool isComplete = false;
     AttemptFailure failure;
     std::string detail;
 };
@@ -36,10 +36,10 @@
     /** Gives the caller the rest of a whole answer. */
     void deliver();
     /** Ends a stream that the caller has begun to read, visibly broken. */
-    void breakOff(const std::string &requestId, const std::string &detail);
+    void abortStream(const std::string &requestId, const std::string &detail);
 
     bool hasSentToCaller() const;
-    bool isForeign() const;
+    bool isFromOtherAttempt() const;
     /** Larger than this node holds; the call should be cancelled. */
     bool isTooLarge() const;
     int status() const;
@@ -54,8 +54,8 @@
     std::string m_attemptId;
     bool m_wantsStream = false;
     int m_status = 0;
-    bool m_isBegun = false;
-    bool m_isForeign = false;
+    bool m_isStreamStarted = false;
+    bool m_isFromOtherAttempt = false;
     bool m_isTooLarge = false;
     Time m_firstByteAt;
     std::string m_body;
--- a/main/enginerunner.cpp
+++ b/main/enginerunner.cpp
@@ -3,10 +3,10 @@
 #include "coordination/concurrencylimit.h"
 #include "core/hash.h"
 #include "core/result.h"
+#include "main/deferredactions.h"
+#include "main/delayedtasks.h"
 #include "main/enginejobs.h"
-#include "main/helddispatches.h"
 #include "main/log.h"
-#include "main/pausedwork.h"
 #include "main/permitrunner.h"
 #include "main/upstreamguard.h"
 #include "protocol/callerapi.h"
@@ -29,8 +29,8 @@
 constexpr std::size_t MaxOrderAnswerBytes = 4096;
 // A batch below a quarter wastes the engine even when it is slow. Times to the first token swing with the length of prompts, so twice the
 // usual one is still no trouble.
-constexpr int LeastBatchPart = 4;
-constexpr double EngineTolerance = 2;
+constexpr int MinBatchDivisor = 4;
+constexpr double EngineLatencyTolerance = 2;
 
 // How an order to an engine ended.
 struct OrderResult
@@ -38,7 +38,7 @@
     bool isDone = false;
     bool isUnknown = false;
     /** The engine could not be reached, or broke off. */
-    bool isEnginesFault = false;
+    bool isEngineFault = false;
 };
 
 SchedulerLimits schedulerLimits(const UpstreamSpec &spec, const Settings &settings, bool needsPermits)
@@ -60,46 +60,46 @@
 
 void respondError(HttpExchange &exchange, ErrorKind kind, const ErrorDetails &details)
 {
-    ErrorDetails told = details;
+    ErrorDetails adjusted = details;
     // Advised to wait without being told how long, a caller would come back at once.
-    if (told.retryAfter == Duration(0) && errorAnswer(kind).retry == RetryAdvice::AfterDelay) {
-        told.retryAfter = DefaultRetryAfter;
+    if (adjusted.retryAfter == Duration(0) && errorAnswer(kind).retry == RetryAdvice::AfterDelay) {
+        adjusted.retryAfter = DefaultRetryAfter;
     }
     HttpHeaders headers { { "Content-Type", "application/json" } };
-    if (told.retryAfter > Duration(0)) {
-        headers.emplace_back("Retry-After", std::to_string((told.retryAfter.milliseconds() + 999) / 1000));
+    if (adjusted.retryAfter > Duration(0)) {
+        headers.emplace_back("Retry-After", std::to_string((adjusted.retryAfter.milliseconds() + 999) / 1000));
     }
-    exchange.respond(errorAnswer(kind).httpStatus, headers, errorBody(kind, told));
+    exchange.respond(errorAnswer(kind).httpStatus, headers, errorBody(kind, adjusted));
 }
 
 struct EngineRunner::Private : std::enable_shared_from_this<Private>
 {
-    Private(const UpstreamSpec &upstream, const EngineParts &allParts)
+    Private(const UpstreamSpec &upstream, const EngineContext &aContext)
         : spec(upstream)
-        , parts(allParts)
+        , context(aContext)
         , log(componentLogger("engine"))
-        , scheduler(schedulerLimits(upstream, allParts.settings, allParts.permits != nullptr))
-        , limit({ std::max(1, upstream.batch / LeastBatchPart), upstream.batch, EngineTolerance })
+        , scheduler(schedulerLimits(upstream, aContext.settings, aContext.permits != nullptr))
+        , limit({ std::max(1, upstream.batch / MinBatchDivisor), upstream.batch, EngineLatencyTolerance })
     {
     }
 
     const UpstreamSpec spec;
-    const EngineParts parts;
+    const EngineContext context;
     Logger log;
 
     mutable absl::Mutex mutex;
     UpstreamScheduler scheduler ABSL_GUARDED_BY(mutex);
     ConcurrencyLimit limit ABSL_GUARDED_BY(mutex);
-    int seats ABSL_GUARDED_BY(mutex) = spec.batch;
+    int batchLimit ABSL_GUARDED_BY(mutex) = spec.batch;
     EngineJobs jobs;
-    std::uint64_t losses ABSL_GUARDED_BY(mutex) = 0;
-    PausedWork paused;
+    std::uint64_t adapterLossCount ABSL_GUARDED_BY(mutex) = 0;
+    DelayedTasks delayedTasks;
     /** Null when nobody else can own the engine. Set once, before the first event. */
     std::unique_ptr<UpstreamGuard> guard;
-    HeldDispatches held;
+    DeferredActions deferred;
 
     void watchOwnership();
-    void releaseHeld();
+    void resumeDeferred();
     void release(RequestId id, ErrorKind kind);
     void finishEvict(const AdapterKey &adapter, const OrderResult &result);
     void handle(const SchedulerEvent &event);
@@ -115,19 +115,19 @@
     void startDispatch(RequestId id);
 
     void submit(CompletionJob what);
-    void moveWaiting(const AdapterKey &adapter);
-    RetryContext factsOf(const EngineJob &job);
+    void rerouteWaiting(const AdapterKey &adapter);
+    RetryContext retryContextOf(const EngineJob &job);
     HttpCall callFor(const EngineJobPointer &job);
     bool maySend(const EngineJobPointer &job) const;
     bool onData(const EngineJobPointer &job, std::string_view data);
     void onDone(const EngineJobPointer &job, const CallResult &result);
-    void noteOutcome(const EngineJob &job, const ReplyEnd &end);
-    void adaptSeats(const EngineJob &job, bool isWhole, bool isFault);
-    void noteLostAdapters(const EngineJob &job);
+    void recordOutcome(const EngineJob &job, const ReplyEnd &end);
+    void updateBatchLimit(const EngineJob &job, bool isComplete, bool isFault);
+    void onAdaptersLost(const EngineJob &job);
     void afterFailure(const EngineJobPointer &job, const AttemptFailure &failure, const std::string &detail, Duration retryAfter);
-    void tryAgain(const EngineJobPointer &job, const TryAgain &how, const std::string &detail);
+    void tryAgain(const EngineJobPointer &job, const TryAgain &retryPlan, const std::string &detail);
     void fail(const EngineJobPointer &job, ErrorKind kind, const std::string &detail, Duration retryAfter);
-    void served(const EngineJobPointer &job);
+    void onServed(const EngineJobPointer &job);
     void callerGone(RequestId id);
 };
 
@@ -137,7 +137,7 @@
     std::vector<SchedulerAction> actions;
     {
         const absl::MutexLock lock(&mutex);
-        actions = scheduler.handle(event, parts.clock.now());
+        actions = scheduler.handle(event, context.clock.now());
     }
     for (const SchedulerAction &action : actions) {
         std::visit([this](const auto &what) { carryOut(what); }, action);
@@ -151,8 +151,8 @@
     call.url = "http://" + spec.address + std::string(path);
     call.headers = { { "Content-Type", "application/json" } };
     call.body = std::move(body);
-    call.connectTimeout = parts.settings.duration("upstreams.connect_timeout_ms");
-    call.totalTimeout = parts.settings.duration("upstreams.load_timeout_ms");
+    call.connectTimeout = context.settings.duration("upstreams.connect_timeout_ms");
+    call.totalTimeout = context.settings.duration("upstreams.load_timeout_ms");
     return call;
 }
 
@@ -169,23 +169,22 @@
             self->guard->orderFenced();
         }
         // Once sent and unanswered, the order may have been carried out all the same.
-        done(
-            { isAnswered && result.status == OkStatus, result.state == AttemptState::Sent, !isAnswered && isUpstreamsFault(result.error) });
+        done({ isAnswered && result.status == OkStatus, result.state == AttemptState::Sent, !isAnswered && isUpstreamFault(result.error) });
     };
-    parts.client.start(std::move(call));
+    context.client.start(std::move(call));
 }
 
 void EngineRunner::Private::carryOut(const RequestPermit &action)
 {
-    if (parts.permits != nullptr) {
-        parts.permits->requestPermit(spec.id, action);
+    if (context.permits != nullptr) {
+        context.permits->requestPermit(spec.id, action);
     }
 }
 
 void EngineRunner::Private::carryOut(const ReleasePermit &action)
 {
-    if (parts.permits != nullptr) {
-        parts.permits->release(spec.id, action);
+    if (context.permits != nullptr) {
+        context.permits->release(spec.id, action);
     }
 }
 
@@ -194,7 +193,7 @@
 {
     const auto token = guard == nullptr ? std::nullopt : guard->loadToken();
     if (guard != nullptr && !token.has_value()) {
-        held.addLoad(action.adapter, parts.clock.now());
+        deferred.addLoad(action.adapter, context.clock.now());
         return;
     }
     startLoad(action.adapter, token);
@@ -202,7 +201,7 @@
 
 void EngineRunner::Private::startLoad(const AdapterKey &adapter, std::optional<FencingToken> token)
 {
-    const Time startedAt = parts.clock.now();
+    const Time startedAt = context.clock.now();
     HttpCall call = orderCall(EngineLoadPath, engineLoadBody(adapter));
     if (token.has_value()) {
         call.headers.emplace_back(std::string(FencingHeader), std::to_string(token->value()));
@@ -210,14 +209,14 @@
     }
     order(std::move(call), [self = shared_from_this(), adapter, startedAt](const OrderResult &result) {
         const bool isLoaded = result.isDone;
-        self->parts.metrics.adapterLoad(isLoaded, self->parts.clock.now() - startedAt);
+        self->context.metrics.adapterLoad(isLoaded, self->context.clock.now() - startedAt);
         self->log->info("Load of {} on {} {}.", adapter.name(), self->spec.id.value(), isLoaded ? "done" : "failed");
-        if (result.isEnginesFault) {
-            self->parts.health.onFailure(self->spec.id);
+        if (result.isEngineFault) {
+            self->context.health.onFailure(self->spec.id);
         }
         self->handle(LoadFinished { adapter, isLoaded, result.isUnknown });
         if (!isLoaded) {
-            self->moveWaiting(adapter);
+            self->rerouteWaiting(adapter);
         }
     });
 }
@@ -237,7 +236,7 @@
         call.isRepeatable = false;
     }
     order(std::move(call), [self = shared_from_this(), adapter = action.adapter](const OrderResult &result) {
-        self->parts.metrics.eviction(result.isDone);
+        self->context.metrics.eviction(result.isDone);
         self->finishEvict(adapter, result);
     });
 }
@@ -249,17 +248,17 @@
         handle(EvictFinished { adapter, result.isDone, false });
         return;
     }
-    const Time due = parts.clock.now() + parts.settings.duration("ownership.dispatch_delay_ms");
-    paused.add(due, [this, adapter] { handle(EvictFinished { adapter, false, true }); });
+    const Time due = context.clock.now() + context.settings.duration("ownership.dispatch_delay_ms");
+    delayedTasks.add(due, [this, adapter] { handle(EvictFinished { adapter, false, true }); });
 }
 
 void EngineRunner::Private::watchOwnership()
 {
-    if (parts.ownership == nullptr) {
+    if (context.ownership == nullptr) {
         return;
     }
     guard = std::make_unique<UpstreamGuard>(
-        spec, parts.settings, parts.client, parts.clock, *parts.ownership, [weak = weak_from_this()](const SchedulerEvent &event) {
+        spec, context.settings, context.client, context.clock, *context.ownership, [weak = weak_from_this()](const SchedulerEvent &event) {
             if (const auto self = weak.lock()) {
                 self->handle(event);
             }
@@ -267,31 +266,31 @@
 }
 
 // What waited for the ownership goes on, or elsewhere when this node does not own the engine any more or cannot reach it.
-void EngineRunner::Private::releaseHeld()
+void EngineRunner::Private::resumeDeferred()
 {
-    const Time now = parts.clock.now();
+    const Time now = context.clock.now();
     const bool isLost = !guard->isOwner() || guard->isSilent() || guard->isLeaving();
     const ErrorKind kind = guard->isSilent() ? ErrorKind::UpstreamUnreachable : ErrorKind::WrongNode;
-    for (const RequestId id : held.takeDispatches()) {
+    for (const RequestId id : deferred.takeDispatches()) {
         const EngineJobPointer job = jobs.find(id);
         if (job == nullptr || guard->mayDispatch()) {
             startDispatch(id);
         } else if (isLost || now >= job->what.work.deadline) {
             release(id, isLost ? kind : ErrorKind::DeadlinePassed);
         } else {
-            held.addDispatch(id);
+            deferred.addDispatch(id);
         }
     }
-    const Time oldest = now - parts.settings.duration("upstreams.load_timeout_ms");
-    for (const HeldLoad &load : held.takeLoads()) {
+    const Time oldest = now - context.settings.duration("upstreams.load_timeout_ms");
+    for (const DeferredLoad &load : deferred.takeLoads()) {
         const auto token = guard->loadToken();
         if (token.has_value()) {
             startLoad(load.adapter, token);
         } else if (isLost || load.since < oldest) {
             handle(LoadFinished { load.adapter, false, false });
-            moveWaiting(load.adapter);
+            rerouteWaiting(load.adapter);
         } else {
-            held.addLoad(load.adapter, load.since);
+            deferred.addLoad(load.adapter, load.since);
         }
     }
 }
@@ -309,7 +308,7 @@
 void EngineRunner::Private::carryOut(const Dispatch &action)
 {
     if (guard != nullptr && !guard->mayDispatch()) {
-        held.addDispatch(action.id);
+        deferred.addDispatch(action.id);
         return;
     }
     startDispatch(action.id);
@@ -322,14 +321,14 @@
         handle(WorkFinished { id });
         return;
     }
-    job->dispatchedAt = parts.clock.now();
+    job->dispatchedAt = context.clock.now();
     {
         const absl::MutexLock lock(&mutex);
-        job->losses = losses;
+        job->adapterLossCount = adapterLossCount;
         job->inFlight = scheduler.runningCount();
     }
-    job->call = parts.client.start(callFor(job));
-    job->what.exchange->onDrained([self = shared_from_this(), job] { self->parts.client.resume(job->call); });
+    job->call = context.client.start(callFor(job));
+    job->what.exchange->onDrained([self = shared_from_this(), job] { self->context.client.resume(job->call); });
 }
 
 HttpCall EngineRunner::Private::callFor(const EngineJobPointer &job)
@@ -340,10 +339,10 @@
     call.url = "http://" + spec.address + what.path;
     call.headers = { { "Content-Type", "application/json" }, { std::string(AttemptHeader), what.attemptId() },
         { "X-Priority", std::string(PriorityNames[static_cast<std::size_t>(what.work.priority)]) },
-        { "X-Deadline-Ms", std::to_string(timeLeft(what.work.deadline, parts.clock.now()).milliseconds()) } };
+        { "X-Deadline-Ms", std::to_string(timeLeft(what.work.deadline, context.clock.now()).milliseconds()) } };
     call.body = what.body;
-    call.connectTimeout = parts.settings.duration("upstreams.connect_timeout_ms");
-    call.inactivityTimeout = parts.settings.duration("upstreams.silence_timeout_ms");
+    call.connectTimeout = context.settings.duration("upstreams.connect_timeout_ms");
+    call.inactivityTimeout = context.settings.duration("upstreams.silence_timeout_ms");
     call.maySend = [self = shared_from_this(), job] { return self->maySend(job); };
     call.onHead = [job](int status, const auto &headers) { job->reply.onHead(status, headers); };
     call.onData = [self = shared_from_this(), job](std::string_view data) { return self->onData(job, data); };
@@ -361,15 +360,15 @@
 
 // After a failed load the scheduler keeps what another try may still serve. On an engine that is gone that try fails too, and callers
 // would wait out its back-off; those that another engine can take go there now.
-void EngineRunner::Private::moveWaiting(const AdapterKey &adapter)
+void EngineRunner::Private::rerouteWaiting(const AdapterKey &adapter)
 {
     for (const EngineJobPointer &job : jobs.waitingFor(adapter)) {
-        const RetryContext facts = factsOf(*job);
+        const RetryContext retryContext = retryContextOf(*job);
         const AttemptFailure failure { AttemptPhase::Queued, ErrorKind::AdapterLoadFailed, false };
-        if (!facts.hasOtherUpstream) {
+        if (!retryContext.hasOtherUpstream) {
             continue;
         }
-        const RetryDecision decision = parts.health.decide(failure, facts, EnginePool);
+        const RetryDecision decision = context.health.decide(failure, retryContext, EnginePool);
         const auto *again = std::get_if<TryAgain>(&decision);
         if (again != nullptr && jobs.takeWaiting(job->what.work.id)) {
             handle(WorkCancelled { job->what.work.id });
@@ -380,133 +379,133 @@
 
 bool EngineRunner::Private::maySend(const EngineJobPointer &job) const
 {
-    return !job->isGone && parts.clock.now() < job->what.work.deadline && (guard == nullptr || guard->mayDispatch());
+    return !job->isCallerGone && context.clock.now() < job->what.work.deadline && (guard == nullptr || guard->mayDispatch());
 }
 
 bool EngineRunner::Private::onData(const EngineJobPointer &job, std::string_view data)
 {
-    const bool goesOn = job->reply.onData(data, parts.clock.now());
+    const bool canContinue = job->reply.onData(data, context.clock.now());
     if (job->reply.isTooLarge()) {
-        parts.client.cancel(job->call);
+        context.client.cancel(job->call);
     }
-    return goesOn;
+    return canContinue;
 }
 
 void EngineRunner::Private::onDone(const EngineJobPointer &job, const CallResult &result)
 {
     const ReplyEnd end = job->reply.end(result);
     jobs.take(job->what.work.id);
-    noteOutcome(*job, end);
+    recordOutcome(*job, end);
     // Before WorkFinished, which could else dispatch more to an adapter that is not there.
     if (end.failure.isAdapterMissing) {
-        noteLostAdapters(*job);
+        onAdaptersLost(*job);
     }
     handle(WorkFinished { job->what.work.id });
-    if (end.isWhole) {
+    if (end.isComplete) {
         job->reply.deliver();
-        served(job);
+        onServed(job);
         return;
     }
-    if (job->reply.isForeign()) {
-        parts.metrics.lateAnswerDropped();
+    if (job->reply.isFromOtherAttempt()) {
+        context.metrics.lateAnswerDropped();
     }
     afterFailure(job, end.failure, end.detail, Duration());
 }
 
 // An abandoned call says nothing of the engine.
-void EngineRunner::Private::noteOutcome(const EngineJob &job, const ReplyEnd &end)
+void EngineRunner::Private::recordOutcome(const EngineJob &job, const ReplyEnd &end)
 {
-    const bool isFault = !end.isWhole && isUpstreamsFault(end.failure.kind) && !job.isGone;
-    if (end.isWhole) {
-        parts.health.onSuccess(spec.id, EnginePool);
+    const bool isFault = !end.isComplete && isUpstreamFault(end.failure.kind) && !job.isCallerGone;
+    if (end.isComplete) {
+        context.health.onSuccess(spec.id, EnginePool);
     } else if (isFault) {
-        parts.health.onFailure(spec.id);
+        context.health.onFailure(spec.id);
     }
-    adaptSeats(job, end.isWhole, isFault);
+    updateBatchLimit(job, end.isComplete, isFault);
 }
 
-void EngineRunner::Private::adaptSeats(const EngineJob &job, bool isWhole, bool isFault)
+void EngineRunner::Private::updateBatchLimit(const EngineJob &job, bool isComplete, bool isFault)
 {
-    const Time now = parts.clock.now();
+    const Time now = context.clock.now();
     int allowed = 0;
     {
         const absl::MutexLock lock(&mutex);
         if (isFault) {
             limit.onDropped(now);
-        } else if (isWhole && job.reply.hasSentToCaller()) {
+        } else if (isComplete && job.reply.hasSentToCaller()) {
             // Only streams tell the time to the first token; a whole answer's time grows with its length.
             limit.onSample(job.reply.firstByteAt() - job.dispatchedAt, job.inFlight, now);
         }
         allowed = limit.limit();
-        if (allowed == seats) {
+        if (allowed == batchLimit) {
             return;
         }
-        seats = allowed;
+        batchLimit = allowed;
     }
     handle(BatchLimited { allowed });
 }
 
 // A restart is noticed once for each request that ran into it. Told twice, the scheduler would forget what it has loaded since.
-void EngineRunner::Private::noteLostAdapters(const EngineJob &job)
+void EngineRunner::Private::onAdaptersLost(const EngineJob &job)
 {
     {
         const absl::MutexLock lock(&mutex);
-        if (job.losses != losses) {
+        if (job.adapterLossCount != adapterLossCount) {
             return;
         }
-        ++losses;
+        ++adapterLossCount;
     }
     log->warn("{} lost its adapters, as after a restart.", spec.id.value());
-    parts.health.onRestart(spec.id);
+    context.health.onRestart(spec.id);
     handle(UpstreamRestarted {});
 }
 
 void EngineRunner::Private::afterFailure(
     const EngineJobPointer &job, const AttemptFailure &failure, const std::string &detail, Duration retryAfter)
 {
-    if (job->isGone) {
+    if (job->isCallerGone) {
         fail(job, ErrorKind::CallerGone, detail, Duration());
         return;
     }
-    const RetryDecision decision = parts.health.decide(failure, factsOf(*job), EnginePool);
+    const RetryDecision decision = context.health.decide(failure, retryContextOf(*job), EnginePool);
     std::visit(Overloaded {
-                   [&](const TryAgain &how) { tryAgain(job, how, detail); },
+                   [&](const TryAgain &retryPlan) { tryAgain(job, retryPlan, detail); },
                    [&](const GiveUp &end) { fail(job, end.kind, detail, retryAfter); },
                },
         decision);
 }
 
-RetryContext EngineRunner::Private::factsOf(const EngineJob &job)
+RetryContext EngineRunner::Private::retryContextOf(const EngineJob &job)
 {
-    RetryContext facts;
-    facts.hasSentToCaller = job.reply.hasSentToCaller();
-    facts.attempts = job.what.attempts + 1;
-    facts.deadline = job.what.work.deadline;
-    facts.hasOtherUpstream = parts.router.hasOther(job.what, spec.id);
-    return facts;
+    RetryContext retryContext;
+    retryContext.hasSentToCaller = job.reply.hasSentToCaller();
+    retryContext.attempts = job.what.attempts + 1;
+    retryContext.deadline = job.what.work.deadline;
+    retryContext.hasOtherUpstream = context.router.hasOther(job.what, spec.id);
+    return retryContext;
 }
 
-void EngineRunner::Private::tryAgain(const EngineJobPointer &job, const TryAgain &how, const std::string &detail)
+void EngineRunner::Private::tryAgain(const EngineJobPointer &job, const TryAgain &retryPlan, const std::string &detail)
 {
     CompletionJob next = job->what;
     ++next.attempts;
     log->info("[{}] upstream={} attempt={} failed, trying again. detail='{}'", next.requestId, spec.id.value(), next.attempts, detail);
-    if (how.target == RetryTarget::OtherUpstream) {
+    if (retryPlan.target == RetryTarget::OtherUpstream) {
         next.tried.push_back(spec.id);
-        parts.router.routeToOther(std::move(next));
-    } else if (how.delay > Duration(0)) {
-        paused.add(parts.clock.now() + how.delay, [this, next = std::move(next)] { submit(next); });
+        context.router.routeToOther(std::move(next));
+    } else if (retryPlan.delay > Duration(0)) {
+        delayedTasks.add(context.clock.now() + retryPlan.delay, [this, next = std::move(next)] { submit(next); });
     } else {
         submit(std::move(next));
     }
 }
 
-void EngineRunner::Private::served(const EngineJobPointer &job)
+void EngineRunner::Private::onServed(const EngineJobPointer &job)
 {
     const WorkItem &work = job->what.work;
-    const Time now = parts.clock.now();
+    const Time now = context.clock.now();
     const Time firstByteAt = job->reply.firstByteAt() == Time() ? now : job->reply.firstByteAt();
-    parts.metrics.completionServed(work.priority, job->dispatchedAt - work.arrival, firstByteAt - work.arrival, now - work.arrival);
+    context.metrics.completionServed(work.priority, job->dispatchedAt - work.arrival, firstByteAt - work.arrival, now - work.arrival);
     log->info("[{}] caller={} adapter={} upstream={} outcome=ok status={} attempts={} ms={}", job->what.requestId, work.caller.value(),
         work.adapter.name(), spec.id.value(), job->reply.status(), job->what.attempts + 1, (now - work.arrival).milliseconds());
 }
@@ -518,12 +517,12 @@
     details.detail = detail;
     details.retryAfter = retryAfter;
     details.requestId = job->what.requestId;
-    parts.metrics.completionFailed(work.priority, kind);
+    context.metrics.completionFailed(work.priority, kind);
     log->info("[{}] caller={} adapter={} upstream={} outcome={} detail='{}' attempts={} ms={}", job->what.requestId, work.caller.value(),
         work.adapter.name(), spec.id.value(), errorAnswer(kind).code, detail, job->what.attempts + 1,
-        (parts.clock.now() - work.arrival).milliseconds());
+        (context.clock.now() - work.arrival).milliseconds());
     if (job->reply.hasSentToCaller()) {
-        job->reply.breakOff(job->what.requestId, detail);
+        job->reply.abortStream(job->what.requestId, detail);
         return;
     }
     respondError(*job->what.exchange, kind, details);
@@ -535,9 +534,9 @@
     if (job == nullptr) {
         return;
     }
-    job->isGone = true;
+    job->isCallerGone = true;
     if (job->call != 0) {
-        parts.client.cancel(job->call); // Its onDone ends the job.
+        context.client.cancel(job->call); // Its onDone ends the job.
         return;
     }
     jobs.take(id);
@@ -558,8 +557,8 @@
     handle(WorkArrived { work });
 }
 
-EngineRunner::EngineRunner(const UpstreamSpec &spec, const EngineParts &parts)
-    : d(std::make_shared<Private>(spec, parts))
+EngineRunner::EngineRunner(const UpstreamSpec &spec, const EngineContext &context)
+    : d(std::make_shared<Private>(spec, context))
 {
     d->watchOwnership();
 }
@@ -578,10 +577,10 @@
 
 void EngineRunner::tick()
 {
-    d->paused.run(d->parts.clock.now());
+    d->delayedTasks.run(d->context.clock.now());
     if (d->guard != nullptr) {
         d->guard->tick();
-        d->releaseHeld();
+        d->resumeDeferred();
     }
     d->handle(Tick {});
 }
--- a/main/enginerunner.h
+++ b/main/enginerunner.h
@@ -26,7 +26,7 @@
 };
 
 /** What the runners of engines share. All must outlive them and every call that they started. */
-struct EngineParts
+struct EngineContext
 {
     const Settings &settings;
     HttpClient &client;
@@ -44,7 +44,7 @@
 class EngineRunner
 {
 public:
-    EngineRunner(const UpstreamSpec &spec, const EngineParts &parts);
+    EngineRunner(const UpstreamSpec &spec, const EngineContext &context);
     ~EngineRunner();
 
     /** An answer to a wish for a load permit: PermitGranted or PermitWaitEstimated. */
--- a/main/forwarder.cpp
+++ b/main/forwarder.cpp
@@ -17,7 +17,7 @@
 {
     if (job.hops >= MaxHops) {
         m_metrics.forward("too_many_hops");
-        job.onNoneReached({ ErrorKind::TooManyHops, {} });
+        job.onNotForwarded({ ErrorKind::TooManyHops, {} });
         return;
     }
     tryNext(std::make_shared<ForwardJob>(std::move(job)), 0, { ErrorKind::PeerUnreachable, "no address of that node is known" });
@@ -30,7 +30,7 @@
     }
     if (index >= job->targets.size()) {
         m_metrics.forward("unreachable");
-        job->onNoneReached(last);
+        job->onNotForwarded(last);
         return;
     }
     const NodeView &target = job->targets[index];
--- a/main/forwarder.h
+++ b/main/forwarder.h
@@ -24,7 +24,7 @@
     std::shared_ptr<HttpExchange> exchange;
     std::string requestId;
     /** Nothing left this node, and the exchange is unanswered. */
-    std::function<void(const Error &)> onNoneReached;
+    std::function<void(const Error &)> onNotForwarded;
 };
 
 /**
@@ -38,7 +38,7 @@
 public:
     Forwarder(Peers &peers, Metrics &metrics);
 
-    /** Errors, through onNoneReached: TooManyHops, PeerUnreachable. */
+    /** Errors, through onNotForwarded: TooManyHops, PeerUnreachable. */
     void forward(ForwardJob job);
 
 private:
--- a/main/ledgerhandover.cpp
+++ b/main/ledgerhandover.cpp
@@ -18,26 +18,26 @@
 // A fleet that loses a whole zone has other things to do than to take one node's ledger at the tenth try.
 constexpr std::size_t MaxTries = 5;
 
-bool tellAndWait(Peers &peers, const NodeView &node, const std::string &batch)
+bool sendAndWait(Peers &peers, const NodeView &node, const std::string &batch)
 {
     absl::Notification done;
-    bool isTaken = false;
+    bool isAccepted = false;
     peers.sendMessage(node.rpcAddress, LedgerPart, batch, [&](const Result<std::string> &answer) {
-        isTaken = answer.isOk();
-        if (!isTaken) {
+        isAccepted = answer.isOk();
+        if (!isAccepted) {
             componentLogger("ledger")->warn("{} did not take a batch. {}", node.id.value(), answer.error().detail);
         }
         done.Notify();
     });
     done.WaitForNotification(); // The call has a time limit of its own.
-    return isTaken;
+    return isAccepted;
 }
 
 bool handOver(Peers &peers, const NodeView &node, const std::vector<SealedLedger> &ledgers)
 {
     for (const SealedLedger &ledger : ledgers) {
         for (const std::string &batch : encodeLedger(ledger, BatchBytes)) {
-            if (!tellAndWait(peers, node, batch)) {
+            if (!sendAndWait(peers, node, batch)) {
                 return false;
             }
         }
--- a/main/onetimerequests.cpp
+++ b/main/onetimerequests.cpp
@@ -37,7 +37,7 @@
     absl::flat_hash_map<std::uint64_t, std::vector<Waiting>> waiters ABSL_GUARDED_BY(mutex);
 };
 
-using StartOfNode = std::pair<NodeId, Incarnation>;
+using NodeIncarnation = std::pair<NodeId, Incarnation>;
 
 } // namespace
 
@@ -69,8 +69,8 @@
     std::atomic<std::uint64_t> waiterCounter { 1 };
     std::array<std::unique_ptr<Shard>, ShardCount> shards;
     mutable absl::Mutex inheritedMutex;
-    std::map<StartOfNode, InheritedLedger> inherited ABSL_GUARDED_BY(inheritedMutex);
-    std::map<StartOfNode, SealedLedger> arriving ABSL_GUARDED_BY(inheritedMutex);
+    std::map<NodeIncarnation, InheritedLedger> inherited ABSL_GUARDED_BY(inheritedMutex);
+    std::map<NodeIncarnation, SealedLedger> incoming ABSL_GUARDED_BY(inheritedMutex);
     HandOffs handOffs ABSL_GUARDED_BY(inheritedMutex);
     bool isSealed ABSL_GUARDED_BY(inheritedMutex) = false;
 
@@ -224,15 +224,15 @@
         return batch.error();
     }
     SealedLedger &part = batch.value().part;
-    const StartOfNode start { part.node, part.incarnation };
+    const NodeIncarnation start { part.node, part.incarnation };
     const absl::MutexLock lock(&d->inheritedMutex);
     if (d->isSealed) {
         return Error { ErrorKind::Draining, "this node is leaving itself" };
     }
     if (batch.value().first == 0) {
-        d->arriving.erase(start);
+        d->incoming.erase(start);
     }
-    SealedLedger &whole = d->arriving[start];
+    SealedLedger &whole = d->incoming[start];
     if (whole.records.size() != batch.value().first) {
         return Error { ErrorKind::BadRequest, "a batch of the ledger is missing" };
     }
@@ -244,7 +244,7 @@
         return false;
     }
     InheritedLedger ledger(std::move(whole), d->clock.now());
-    d->arriving.erase(start);
+    d->incoming.erase(start);
     if (d->inheritedBytes() + ledger.bytes() > d->maxBytes) {
         return Error { ErrorKind::LedgerFull, "no room for another node's one-time requests" };
     }
--- a/main/servicelimits.cpp
+++ b/main/servicelimits.cpp
@@ -15,10 +15,10 @@
 {
 
 // A service mixes quick look-ups with slow bookings, so its latency swings far more than an engine's time to the first token.
-constexpr double ServiceTolerance = 3;
-constexpr int FewestCalls = 4;
+constexpr double ServiceLatencyTolerance = 3;
+constexpr int MinConcurrentCalls = 4;
 
-struct Place
+struct UpstreamLimit
 {
     ConcurrencyLimit limit;
     int inFlight = 0;
@@ -28,25 +28,25 @@
 
 struct ServiceLimits::Private
 {
-    int most = 1;
+    int maxConcurrentCalls = 1;
     mutable absl::Mutex mutex;
-    absl::flat_hash_map<UpstreamId, Place> places ABSL_GUARDED_BY(mutex);
+    absl::flat_hash_map<UpstreamId, UpstreamLimit> upstreamLimits ABSL_GUARDED_BY(mutex);
 
-    Place &place(const UpstreamId &upstream) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex)
+    UpstreamLimit &upstreamLimit(const UpstreamId &upstream) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex)
     {
-        const auto at = places.find(upstream);
-        if (at != places.end()) {
+        const auto at = upstreamLimits.find(upstream);
+        if (at != upstreamLimits.end()) {
             return at->second;
         }
-        const ConcurrencyBounds bounds { std::min(FewestCalls, most), most, ServiceTolerance };
-        return places.emplace(upstream, Place { ConcurrencyLimit(bounds) }).first->second;
+        const ConcurrencyBounds bounds { std::min(MinConcurrentCalls, maxConcurrentCalls), maxConcurrentCalls, ServiceLatencyTolerance };
+        return upstreamLimits.emplace(upstream, UpstreamLimit { ConcurrencyLimit(bounds) }).first->second;
     }
 };
 
-ServiceLimits::ServiceLimits(int most)
+ServiceLimits::ServiceLimits(int maxConcurrentCalls)
     : d(std::make_unique<Private>())
 {
-    d->most = most;
+    d->maxConcurrentCalls = maxConcurrentCalls;
 }
 
 ServiceLimits::~ServiceLimits() = default;
@@ -54,31 +54,31 @@
 bool ServiceLimits::tryStart(const UpstreamId &upstream)
 {
     const absl::MutexLock lock(&d->mutex);
-    Place &place = d->place(upstream);
-    if (place.inFlight >= place.limit.limit()) {
+    UpstreamLimit &upstreamLimit = d->upstreamLimit(upstream);
+    if (upstreamLimit.inFlight >= upstreamLimit.limit.limit()) {
         return false;
     }
-    ++place.inFlight;
+    ++upstreamLimit.inFlight;
     return true;
 }
 
 void ServiceLimits::onEnd(const UpstreamId &upstream, ServiceOutcome outcome, Duration latency, Time now)
 {
     const absl::MutexLock lock(&d->mutex);
-    Place &place = d->place(upstream);
+    UpstreamLimit &upstreamLimit = d->upstreamLimit(upstream);
     if (outcome == ServiceOutcome::Answered) {
-        place.limit.onSample(latency, place.inFlight, now);
+        upstreamLimit.limit.onSample(latency, upstreamLimit.inFlight, now);
     } else if (outcome == ServiceOutcome::Failed) {
-        place.limit.onDropped(now);
+        upstreamLimit.limit.onDropped(now);
     }
-    --place.inFlight;
+    --upstreamLimit.inFlight;
 }
 
 int ServiceLimits::inFlight(const UpstreamId &upstream) const
 {
     const absl::MutexLock lock(&d->mutex);
-    const auto at = d->places.find(upstream);
-    return at == d->places.end() ? 0 : at->second.inFlight;
+    const auto at = d->upstreamLimits.find(upstream);
+    return at == d->upstreamLimits.end() ? 0 : at->second.inFlight;
 }
 
 } // namespace ApricotStep
--- a/main/servicelimits.h
+++ b/main/servicelimits.h
@@ -21,8 +21,8 @@
 class ServiceLimits
 {
 public:
-    /** @p most calls at once at one upstream, at least 1. */
-    explicit ServiceLimits(int most);
+    /** @p maxConcurrentCalls calls at once at one upstream, at least 1. */
+    explicit ServiceLimits(int maxConcurrentCalls);
     ~ServiceLimits();
 
     /** Takes a place at @p upstream; false when its limit is reached. */
--- a/main/servicerunner.cpp
+++ b/main/servicerunner.cpp
@@ -2,9 +2,9 @@
 
 #include "core/hash.h"
 #include "core/result.h"
+#include "main/delayedtasks.h"
 #include "main/enginerunner.h"
 #include "main/log.h"
-#include "main/pausedwork.h"
 #include "main/servicelimits.h"
 #include "protocol/callerapi.h"
 
@@ -115,9 +115,9 @@
     Metrics &metrics;
     UpstreamHealth &health;
     ServiceLimits limits;
-    PausedWork paused;
+    DelayedTasks delayedTasks;
     Logger log;
-    std::atomic<std::uint64_t> turn { 0 };
+    std::atomic<std::uint64_t> nextUpstream { 0 };
 
     // True when the call is to be started now; otherwise it has been answered or waits for the first one under its key.
     bool admit(const RunningPointer &running);
@@ -127,12 +127,12 @@
     void refuseKey(const ServiceJob &job, ErrorKind kind);
     // Begins an attempt at the next upstream after the one at @p from that has room.
     void start(const RunningPointer &running, std::size_t from);
-    bool takePlace(const RunningPointer &running, std::size_t from);
+    bool reserveUpstream(const RunningPointer &running, std::size_t from);
     HttpCall callFor(const RunningPointer &running);
     bool maySend(const RunningPointer &running);
     void onDone(const RunningPointer &running, const CallResult &result);
-    void noteOutcome(const Running &running, const CallResult &result);
-    void tryAgain(const RunningPointer &running, const TryAgain &how);
+    void recordOutcome(const Running &running, const CallResult &result);
+    void tryAgain(const RunningPointer &running, const TryAgain &retryPlan);
     void settle(const RunningPointer &running, const StoredAnswer &stored);
     void settleFailed(const RunningPointer &running, ErrorKind kind, const std::string &detail);
 };
@@ -147,9 +147,9 @@
     }
     const auto key = IdempotencyKey::decode(text, settings.text("fleet.secret"));
     if (!key.isOk()) {
-        const bool isCheckedThere = !running->upstreams.empty()
+        const bool allCheckKeys = !running->upstreams.empty()
             && std::all_of(running->upstreams.begin(), running->upstreams.end(), [](const auto *upstream) { return upstream->checksKeys; });
-        if (isCheckedThere) {
+        if (allCheckKeys) {
             return canStart(running);
         }
         refuseKey(job, ErrorKind::KeyRequired);
@@ -165,8 +165,8 @@
     const IdempotencyKey &key = running->key;
     if (!oneTimeRequests.holds(key)) {
         // Only the start that minted the key, or its successor, knows whether it ran. Running it here would double it.
-        if (job.passOn) {
-            job.passOn(job, key);
+        if (job.forwardToOwner) {
+            job.forwardToOwner(job, key);
         } else {
             refuse(*job.exchange, ErrorKind::OutcomeUnknown, job.requestId);
         }
@@ -233,7 +233,7 @@
 }
 
 // Ejected upstreams come last: when all others are full or out, trying one is better than refusing.
-bool ServiceRunner::Private::takePlace(const RunningPointer &running, std::size_t from)
+bool ServiceRunner::Private::reserveUpstream(const RunningPointer &running, std::size_t from)
 {
     const std::size_t count = running->upstreams.size();
     for (const bool wantsEjected : { false, true }) {
@@ -251,7 +251,7 @@
 
 void ServiceRunner::Private::start(const RunningPointer &running, std::size_t from)
 {
-    if (!takePlace(running, from)) {
+    if (!reserveUpstream(running, from)) {
         settleFailed(running, ErrorKind::Overloaded, "every upstream of the service runs as many calls as it bears");
         return;
     }
@@ -297,13 +297,13 @@
     return call;
 }
 
-void ServiceRunner::Private::noteOutcome(const Running &running, const CallResult &result)
+void ServiceRunner::Private::recordOutcome(const Running &running, const CallResult &result)
 {
     const UpstreamId &id = running.upstreams[running.at]->id;
     const Time now = clock.now();
     const bool isAnswered = result.state == AttemptState::Answered;
     const bool isFault =
-        isAnswered ? result.status >= FirstGatewayError && result.status <= LastGatewayError : isUpstreamsFault(result.error);
+        isAnswered ? result.status >= FirstGatewayError && result.status <= LastGatewayError : isUpstreamFault(result.error);
     const ServiceOutcome outcome = isFault ? ServiceOutcome::Failed : isAnswered ? ServiceOutcome::Answered : ServiceOutcome::Abandoned;
     limits.onEnd(id, outcome, now - running.startedAt, now);
     if (isFault) {
@@ -315,7 +315,7 @@
 
 void ServiceRunner::Private::onDone(const RunningPointer &running, const CallResult &result)
 {
-    noteOutcome(*running, result);
+    recordOutcome(*running, result);
     if (running->isTooLarge) {
         settleFailed(running, ErrorKind::UpstreamFailed, "the answer is larger than this node holds");
         return;
@@ -325,24 +325,24 @@
         return;
     }
     const AttemptFailure failure { result.state == AttemptState::NotSent ? AttemptPhase::Queued : AttemptPhase::Unknown, result.error };
-    RetryContext facts;
-    facts.idempotency = running->isIdempotent ? Idempotency::Idempotent : Idempotency::NonIdempotent;
-    facts.attempts = running->attempts;
-    facts.deadline = running->deadline;
-    facts.hasOtherUpstream = running->upstreams.size() > 1;
+    RetryContext retryContext;
+    retryContext.idempotency = running->isIdempotent ? Idempotency::Idempotent : Idempotency::NonIdempotent;
+    retryContext.attempts = running->attempts;
+    retryContext.deadline = running->deadline;
+    retryContext.hasOtherUpstream = running->upstreams.size() > 1;
     std::visit(Overloaded {
-                   [&](const TryAgain &how) { tryAgain(running, how); },
+                   [&](const TryAgain &retryPlan) { tryAgain(running, retryPlan); },
                    [&](const GiveUp &end) { settleFailed(running, end.kind, result.detail); },
                },
-        health.decide(failure, facts, running->job.service.value()));
+        health.decide(failure, retryContext, running->job.service.value()));
 }
 
-void ServiceRunner::Private::tryAgain(const RunningPointer &running, const TryAgain &how)
+void ServiceRunner::Private::tryAgain(const RunningPointer &running, const TryAgain &retryPlan)
 {
     running->body.clear();
-    const std::size_t next = running->at + (how.target == RetryTarget::OtherUpstream ? 1 : 0);
-    if (how.delay > Duration(0)) {
-        paused.add(clock.now() + how.delay, [this, running, next] { start(running, next); });
+    const std::size_t next = running->at + (retryPlan.target == RetryTarget::OtherUpstream ? 1 : 0);
+    if (retryPlan.delay > Duration(0)) {
+        delayedTasks.add(clock.now() + retryPlan.delay, [this, running, next] { start(running, next); });
     } else {
         start(running, next);
     }
@@ -405,7 +405,8 @@
     }
     if (!running->upstreams.empty()) {
         std::rotate(running->upstreams.begin(),
-            running->upstreams.begin() + static_cast<long>(d->turn.fetch_add(1) % running->upstreams.size()), running->upstreams.end());
+            running->upstreams.begin() + static_cast<long>(d->nextUpstream.fetch_add(1) % running->upstreams.size()),
+            running->upstreams.end());
     }
     running->isIdempotent = isIdempotentMethod(job.request.method);
     running->arrivedAt = d->clock.now();
@@ -425,7 +426,7 @@
 void ServiceRunner::tick()
 {
     const Time now = d->clock.now();
-    d->paused.run(now);
+    d->delayedTasks.run(now);
     d->oneTimeRequests.tick();
 }
 
--- a/main/servicerunner.h
+++ b/main/servicerunner.h
@@ -20,7 +20,7 @@
 struct ServiceJob
 {
     /** Passes a call on whose key another node answers for. */
-    using PassOn = std::function<void(const ServiceJob &, const IdempotencyKey &)>;
+    using ForwardToOwner = std::function<void(const ServiceJob &, const IdempotencyKey &)>;
 
     HttpRequest request;
     ServiceName service;
@@ -32,7 +32,7 @@
     std::shared_ptr<const FleetView> fleet;
     /** Forwards before it came here. */
     int hops = 0;
-    PassOn passOn;
+    ForwardToOwner forwardToOwner;
 };
 
 /** Calls plain services; one-time calls through the ledger of minted keys. Thread-safe. */
--- a/main/upstreamhealth.cpp
+++ b/main/upstreamhealth.cpp
@@ -86,13 +86,13 @@
     return d->outliers.share(upstream, d->clock.now());
 }
 
-RetryDecision UpstreamHealth::decide(const AttemptFailure &failure, const RetryContext &facts, const std::string &pool)
+RetryDecision UpstreamHealth::decide(const AttemptFailure &failure, const RetryContext &retryContext, const std::string &pool)
 {
     const Time now = d->clock.now();
     RetryDecision decision;
     {
         const absl::MutexLock lock(&d->mutex);
-        decision = decideRetry(failure, facts, RetryLimits {}, d->budget(pool, now), d->random, now);
+        decision = decideRetry(failure, retryContext, RetryLimits {}, d->budget(pool, now), d->random, now);
     }
     if (std::holds_alternative<TryAgain>(decision)) {
         d->metrics.retry(pool);
@@ -100,7 +100,7 @@
     return decision;
 }
 
-bool isUpstreamsFault(ErrorKind kind)
+bool isUpstreamFault(ErrorKind kind)
 {
     return kind == ErrorKind::UpstreamUnreachable || kind == ErrorKind::UpstreamFailed || kind == ErrorKind::UpstreamTimeout
         || kind == ErrorKind::StreamCut;
--- a/main/upstreamhealth.h
+++ b/main/upstreamhealth.h
@@ -29,7 +29,7 @@
     void onRestart(const UpstreamId &upstream);
     /** 0 when ejected, below 1 while it returns slowly. */
     double share(const UpstreamId &upstream) const;
-    RetryDecision decide(const AttemptFailure &failure, const RetryContext &facts, const std::string &pool);
+    RetryDecision decide(const AttemptFailure &failure, const RetryContext &retryContext, const std::string &pool);
 
 private:
     struct Private;
@@ -40,6 +40,6 @@
 inline const std::string EnginePool = "engines";
 
 /** Whether a failed call of @p kind says something bad of the upstream itself. */
-bool isUpstreamsFault(ErrorKind kind);
+bool isUpstreamFault(ErrorKind kind);
 
 } // namespace ApricotStep
--- a/tests/main/testcallerfrontend.cpp
+++ b/tests/main/testcallerfrontend.cpp
@@ -72,7 +72,7 @@
     UpstreamHealth health { clock, metrics, 1 };
     ServiceRunner services { NodeId("n1"), Incarnation(1), *settings, client, clock, metrics, health };
     RecordingPeers peers;
-    CallerFrontend frontend { FrontendParts {
+    CallerFrontend frontend { FrontendContext {
         NodeId("n1"), Incarnation(1), ZoneId("a"), *settings, clock, client, metrics, catalog, fleet, services, health, peers } };
 };
 
--- a/tests/main/testengineplacer.cpp
+++ b/tests/main/testengineplacer.cpp
@@ -34,7 +34,7 @@
         }
         placement = placer.placement(Catalog::create(std::move(content)).value(), view);
     }
-    std::optional<Candidate> choose(const PlaceRequest &request)
+    std::optional<Candidate> choose(const PlacementRequest &request)
     {
         return placer.choose(request, *placement, [this](const UpstreamId &id) { return depths[id.value()]; });
     }
--- a/tests/main/testownership.cpp
+++ b/tests/main/testownership.cpp
@@ -80,7 +80,7 @@
         spec.slots = 1;
         spec.checksFencing = true;
         runner = std::make_unique<EngineRunner>(
-            spec, EngineParts { *parts.settings, *parts.client, parts.clock, parts.metrics, parts.health, *this, &source });
+            spec, EngineContext { *parts.settings, *parts.client, parts.clock, parts.metrics, parts.health, *this, &source });
     }
     ~OwnedEngine()
     {
--- a/tests/main/testretries.cpp
+++ b/tests/main/testretries.cpp
@@ -68,11 +68,11 @@
 struct Engines : NodeFixture, CompletionRouter
 {
     explicit Engines(const std::string &first, const std::string &second = {})
-        : one(std::make_unique<EngineRunner>(spec("one", first), EngineParts { *settings, *client, clock, metrics, health, *this }))
+        : one(std::make_unique<EngineRunner>(spec("one", first), EngineContext { *settings, *client, clock, metrics, health, *this }))
     {
         if (!second.empty()) {
             other =
-                std::make_unique<EngineRunner>(spec("other", second), EngineParts { *settings, *client, clock, metrics, health, *this });
+                std::make_unique<EngineRunner>(spec("other", second), EngineContext { *settings, *client, clock, metrics, health, *this });
         }
     }
     ~Engines() override
