--- a/main/enginerunner.cpp
+++ b/main/enginerunner.cpp
@@ -7,8 +7,8 @@
 #include "main/delayedtasks.h"
 #include "main/enginejobs.h"
 #include "main/log.h"
+#include "main/ownershiprunner.h"
 #include "main/permitrunner.h"
-#include "main/upstreamguard.h"
 #include "protocol/callerapi.h"
 #include "protocol/engineapi.h"
 
@@ -95,10 +95,10 @@
     std::uint64_t adapterLossCount ABSL_GUARDED_BY(mutex) = 0;
     DelayedTasks delayedTasks;
     /** Null when nobody else can own the engine. Set once, before the first event. */
-    std::unique_ptr<UpstreamGuard> guard;
+    std::unique_ptr<OwnershipRunner> ownershipRunner;
     DeferredActions deferred;
 
-    void watchOwnership();
+    void startOwnershipRunner();
     void resumeDeferred();
     void release(RequestId id, ErrorKind kind);
     void finishEvict(const AdapterKey &adapter, const OrderResult &result);
@@ -165,8 +165,8 @@
     };
     call.onDone = [self = shared_from_this(), answer, done = std::move(done)](const CallResult &result) {
         const bool isAnswered = result.state == AttemptState::Answered;
-        if (self->guard != nullptr && isAnswered && isFencedAnswer(result.status, *answer)) {
-            self->guard->orderFenced();
+        if (self->ownershipRunner != nullptr && isAnswered && isFencedAnswer(result.status, *answer)) {
+            self->ownershipRunner->onOrderFenced();
         }
         // Once sent and unanswered, the order may have been carried out all the same.
         done({ isAnswered && result.status == OkStatus, result.state == AttemptState::Sent, !isAnswered && isUpstreamFault(result.error) });
@@ -191,8 +191,8 @@
 // Without the ownership the load waits; the engine's slots may be another node's to fill.
 void EngineRunner::Private::carryOut(const StartLoad &action)
 {
-    const auto token = guard == nullptr ? std::nullopt : guard->loadToken();
-    if (guard != nullptr && !token.has_value()) {
+    const auto token = ownershipRunner == nullptr ? std::nullopt : ownershipRunner->loadToken();
+    if (ownershipRunner != nullptr && !token.has_value()) {
         deferred.addLoad(action.adapter, context.clock.now());
         return;
     }
@@ -205,7 +205,7 @@
     HttpCall call = orderCall(EngineLoadPath, engineLoadBody(adapter));
     if (token.has_value()) {
         call.headers.emplace_back(std::string(FencingHeader), std::to_string(token->value()));
-        call.maySend = [self = shared_from_this(), token] { return self->guard->loadToken() == token; };
+        call.maySend = [self = shared_from_this(), token] { return self->ownershipRunner->loadToken() == token; };
     }
     order(std::move(call), [self = shared_from_this(), adapter, startedAt](const OrderResult &result) {
         const bool isLoaded = result.isDone;
@@ -224,14 +224,16 @@
 void EngineRunner::Private::carryOut(const StartEvict &action)
 {
     HttpCall call = orderCall(EngineUnloadPath, engineUnloadBody(action.adapter));
-    if (guard != nullptr) {
-        const auto token = guard->evictToken(action.adapter);
+    if (ownershipRunner != nullptr) {
+        const auto token = ownershipRunner->evictToken(action.adapter);
         if (!token.has_value()) {
             handle(EvictFinished { action.adapter, false, false });
             return;
         }
         call.headers.emplace_back(std::string(FencingHeader), std::to_string(token->value()));
-        call.maySend = [self = shared_from_this(), token, adapter = action.adapter] { return self->guard->evictToken(adapter) == token; };
+        call.maySend = [self = shared_from_this(), token, adapter = action.adapter] {
+            return self->ownershipRunner->evictToken(adapter) == token;
+        };
         // libcurl would send it again by itself on a reused connection that died; a late second one would hit what was loaded since.
         call.isRepeatable = false;
     }
@@ -252,12 +254,12 @@
     delayedTasks.add(due, [this, adapter] { handle(EvictFinished { adapter, false, true }); });
 }
 
-void EngineRunner::Private::watchOwnership()
+void EngineRunner::Private::startOwnershipRunner()
 {
     if (context.ownership == nullptr) {
         return;
     }
-    guard = std::make_unique<UpstreamGuard>(
+    ownershipRunner = std::make_unique<OwnershipRunner>(
         spec, context.settings, context.client, context.clock, *context.ownership, [weak = weak_from_this()](const SchedulerEvent &event) {
             if (const auto self = weak.lock()) {
                 self->handle(event);
@@ -269,11 +271,11 @@
 void EngineRunner::Private::resumeDeferred()
 {
     const Time now = context.clock.now();
-    const bool isLost = !guard->isOwner() || guard->isSilent() || guard->isLeaving();
-    const ErrorKind kind = guard->isSilent() ? ErrorKind::UpstreamUnreachable : ErrorKind::WrongNode;
+    const bool isLost = !ownershipRunner->isOwner() || ownershipRunner->isUnresponsive() || ownershipRunner->isLeaving();
+    const ErrorKind kind = ownershipRunner->isUnresponsive() ? ErrorKind::UpstreamUnreachable : ErrorKind::WrongNode;
     for (const RequestId id : deferred.takeDispatches()) {
         const EngineJobPointer job = jobs.find(id);
-        if (job == nullptr || guard->mayDispatch()) {
+        if (job == nullptr || ownershipRunner->mayDispatch()) {
             startDispatch(id);
         } else if (isLost || now >= job->what.work.deadline) {
             release(id, isLost ? kind : ErrorKind::DeadlinePassed);
@@ -283,7 +285,7 @@
     }
     const Time oldest = now - context.settings.duration("upstreams.load_timeout_ms");
     for (const DeferredLoad &load : deferred.takeLoads()) {
-        const auto token = guard->loadToken();
+        const auto token = ownershipRunner->loadToken();
         if (token.has_value()) {
             startLoad(load.adapter, token);
         } else if (isLost || load.since < oldest) {
@@ -307,7 +309,7 @@
 
 void EngineRunner::Private::carryOut(const Dispatch &action)
 {
-    if (guard != nullptr && !guard->mayDispatch()) {
+    if (ownershipRunner != nullptr && !ownershipRunner->mayDispatch()) {
         deferred.addDispatch(action.id);
         return;
     }
@@ -379,7 +381,8 @@
 
 bool EngineRunner::Private::maySend(const EngineJobPointer &job) const
 {
-    return !job->isCallerGone && context.clock.now() < job->what.work.deadline && (guard == nullptr || guard->mayDispatch());
+    return !job->isCallerGone && context.clock.now() < job->what.work.deadline
+        && (ownershipRunner == nullptr || ownershipRunner->mayDispatch());
 }
 
 bool EngineRunner::Private::onData(const EngineJobPointer &job, std::string_view data)
@@ -560,7 +563,7 @@
 EngineRunner::EngineRunner(const UpstreamSpec &spec, const EngineContext &context)
     : d(std::make_shared<Private>(spec, context))
 {
-    d->watchOwnership();
+    d->startOwnershipRunner();
 }
 
 EngineRunner::~EngineRunner() = default;
@@ -578,8 +581,8 @@
 void EngineRunner::tick()
 {
     d->delayedTasks.run(d->context.clock.now());
-    if (d->guard != nullptr) {
-        d->guard->tick();
+    if (d->ownershipRunner != nullptr) {
+        d->ownershipRunner->tick();
         d->resumeDeferred();
     }
     d->handle(Tick {});
--- a/main/upstreamguard.cpp
+++ b/main/ownershiprunner.cpp
@@ -1,4 +1,4 @@
-#include "main/upstreamguard.h"
+#include "main/ownershiprunner.h"
 
 #include "coordination/ownership.h"
 #include "coordination/rendezvous.h"
@@ -38,7 +38,7 @@
 
 } // namespace
 
-struct UpstreamGuard::Private : std::enable_shared_from_this<Private>
+struct OwnershipRunner::Private : std::enable_shared_from_this<Private>
 {
     Private(const UpstreamSpec &upstream, const Settings &allSettings, HttpClient &httpClient, const Clock &aClock,
         const OwnershipSource &ownershipSource, Listener schedulerListener)
@@ -62,7 +62,7 @@
     Logger log;
     std::atomic<bool> isOwner { false };
     std::atomic<bool> isLeaving { false };
-    std::atomic<bool> isSilent { false };
+    std::atomic<bool> isUnresponsive { false };
     /** Only the ticking thread uses it: the owner is worked out once for each view. */
     std::shared_ptr<const FleetView> lastView;
     mutable absl::Mutex mutex;
@@ -73,11 +73,11 @@
     void carryOut(const Claim &action);
     void carryOut(const EvictionRuleChanged &action);
     void tick();
-    void takeReport(Time askedAt, const CallResult &result, const std::string &body);
+    void onReport(Time requestedAt, const CallResult &result, const std::string &body);
     HttpCall call(std::string_view path) const;
 };
 
-void UpstreamGuard::Private::handle(const OwnershipEvent &event)
+void OwnershipRunner::Private::handle(const OwnershipEvent &event)
 {
     std::vector<OwnershipAction> actions;
     {
@@ -89,7 +89,7 @@
     }
 }
 
-void UpstreamGuard::Private::tick()
+void OwnershipRunner::Private::tick()
 {
     const auto view = source.fleet.get();
     if (view == nullptr) {
@@ -98,16 +98,16 @@
     if (view != lastView) {
         lastView = view;
         const NodeView *owner = ownerOf(spec.id, spec.zone, view->nodes);
-        const bool isMine = owner != nullptr && owner->id == source.self;
+        const bool isNowOwner = owner != nullptr && owner->id == source.self;
         isLeaving = view->leaving.contains(spec.id);
-        if (isMine != isOwner.exchange(isMine)) {
-            log->info("{} {}.", isMine ? "Taking over" : "Gave up", spec.id.value());
+        if (isNowOwner != isOwner.exchange(isNowOwner)) {
+            log->info("{} {}.", isNowOwner ? "Taking over" : "Gave up", spec.id.value());
         }
     }
-    handle(OwnerView { isOwner, source.isFresh(), view->isNodeMissing, source.number() });
+    handle(OwnerView { isOwner, source.isFresh(), view->isNodeMissing, source.tokenLowBits() });
 }
 
-HttpCall UpstreamGuard::Private::call(std::string_view path) const
+HttpCall OwnershipRunner::Private::call(std::string_view path) const
 {
     HttpCall call;
     call.url = "http://" + spec.address + std::string(path);
@@ -116,9 +116,9 @@
     return call;
 }
 
-void UpstreamGuard::Private::carryOut(const RequestReport &)
+void OwnershipRunner::Private::carryOut(const RequestReport &)
 {
-    const Time askedAt = clock.now();
+    const Time requestedAt = clock.now();
     auto body = std::make_shared<std::string>();
     HttpCall report = call(EngineReportPath);
     report.onData = [body](std::string_view data) {
@@ -127,29 +127,30 @@
         }
         return true;
     };
-    report.onDone = [self = shared_from_this(), body, askedAt](const CallResult &result) { self->takeReport(askedAt, result, *body); };
+    report.onDone = [self = shared_from_this(), body, requestedAt](
+                        const CallResult &result) { self->onReport(requestedAt, result, *body); };
     client.start(std::move(report));
 }
 
-void UpstreamGuard::Private::takeReport(Time askedAt, const CallResult &result, const std::string &body)
+void OwnershipRunner::Private::onReport(Time requestedAt, const CallResult &result, const std::string &body)
 {
     const bool isAnswered = result.state == AttemptState::Answered && result.status == OkStatus;
     auto report = isAnswered ? parseEngineLoadReport(body) : Result<EngineLoadReport>(Error { ErrorKind::UpstreamUnreachable, {} });
     if (!report.isOk()) {
-        if (!isSilent.exchange(true)) {
+        if (!isUnresponsive.exchange(true)) {
             log->warn("{} gives no load report. status={} {}", spec.id.value(), result.status, report.error().detail);
         }
         handle(ReportFailed {});
         return;
     }
-    isSilent = false;
+    isUnresponsive = false;
     const EngineLoadReport &content = report.value();
-    const Time takenAt = askedAt - settings.duration("ownership.report_lag_ms");
+    const Time takenAt = requestedAt - settings.duration("ownership.report_lag_ms");
     handle(OwnershipReport { takenAt, content.fencingToken, content.loaded, content.inUse });
     listener(LoadReport { takenAt, content.loaded, content.inUse, content.running, content.waiting });
 }
 
-void UpstreamGuard::Private::carryOut(const Claim &action)
+void OwnershipRunner::Private::carryOut(const Claim &action)
 {
     HttpCall claim = call(EngineUnloadPath);
     claim.method = "POST";
@@ -176,40 +177,40 @@
     client.start(std::move(claim));
 }
 
-void UpstreamGuard::Private::carryOut(const EvictionRuleChanged &action)
+void OwnershipRunner::Private::carryOut(const EvictionRuleChanged &action)
 {
     listener(action.rule);
 }
 
-UpstreamGuard::UpstreamGuard(const UpstreamSpec &spec, const Settings &settings, HttpClient &client, const Clock &clock,
+OwnershipRunner::OwnershipRunner(const UpstreamSpec &spec, const Settings &settings, HttpClient &client, const Clock &clock,
     const OwnershipSource &source, Listener listener)
     : d(std::make_shared<Private>(spec, settings, client, clock, source, std::move(listener)))
 {
 }
 
-UpstreamGuard::~UpstreamGuard() = default;
+OwnershipRunner::~OwnershipRunner() = default;
 
-void UpstreamGuard::tick()
+void OwnershipRunner::tick()
 {
     d->tick();
 }
 
-bool UpstreamGuard::isOwner() const
+bool OwnershipRunner::isOwner() const
 {
     return d->isOwner;
 }
 
-bool UpstreamGuard::isLeaving() const
+bool OwnershipRunner::isLeaving() const
 {
     return d->isLeaving;
 }
 
-bool UpstreamGuard::isSilent() const
+bool OwnershipRunner::isUnresponsive() const
 {
-    return d->isSilent;
+    return d->isUnresponsive;
 }
 
-bool UpstreamGuard::mayDispatch() const
+bool OwnershipRunner::mayDispatch() const
 {
     const auto view = d->source.fleet.get();
     if (view == nullptr || view->leaving.contains(d->spec.id)) {
@@ -219,19 +220,19 @@
     return d->ownership.mayDispatch(d->clock.now());
 }
 
-std::optional<FencingToken> UpstreamGuard::loadToken() const
+std::optional<FencingToken> OwnershipRunner::loadToken() const
 {
     const absl::MutexLock lock(&d->mutex);
     return d->ownership.loadToken(d->clock.now());
 }
 
-std::optional<FencingToken> UpstreamGuard::evictToken(const AdapterKey &adapter) const
+std::optional<FencingToken> OwnershipRunner::evictToken(const AdapterKey &adapter) const
 {
     const absl::MutexLock lock(&d->mutex);
     return d->ownership.evictToken(adapter, d->clock.now());
 }
 
-void UpstreamGuard::orderFenced()
+void OwnershipRunner::onOrderFenced()
 {
     d->handle(OrderFenced {});
 }
