--- a/main/permitrunner.cpp
+++ b/main/permitrunner.cpp
@@ -26,21 +26,21 @@
 }
 
 // What is left to do once the lock is free.
-struct Errand
+struct QueuedMessage
 {
     NodeId to;
     std::string address;
     PermitMessage message;
 };
-struct Answer
+struct EngineEvent
 {
     UpstreamId upstream;
     SchedulerEvent event;
 };
-struct Errands
+struct PermitEffects
 {
-    std::vector<Errand> messages;
-    std::vector<Answer> answers;
+    std::vector<QueuedMessage> messages;
+    std::vector<EngineEvent> engineEvents;
 };
 
 } // namespace
@@ -66,97 +66,97 @@
     PermitClient client ABSL_GUARDED_BY(mutex);
     PermitIssuer issuer ABSL_GUARDED_BY(mutex);
     std::shared_ptr<const FleetView> view ABSL_GUARDED_BY(mutex);
-    int listed ABSL_GUARDED_BY(mutex) = 0;
-    bool isFleetDue ABSL_GUARDED_BY(mutex) = true;
+    int listedNodeCount ABSL_GUARDED_BY(mutex) = 0;
+    bool isFleetStale ABSL_GUARDED_BY(mutex) = true;
     bool isStopped ABSL_GUARDED_BY(mutex) = false;
 
-    void takeInFleet(Time now) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-    void send(const NodeId &to, PermitMessage message, Errands &errands) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-    void collect(const std::vector<PermitAction> &actions, Time now, Errands &errands) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-    void giveOut(Time now, Errands &errands) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-    std::string answerTo(const PermitMessage &message, Time now, Errands &errands) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-    PermitWaitEstimate outlookFor(const PermitRequest &request) const ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-    void carryOut(Errands errands);
-    void told(const Errand &errand, const Result<std::string> &answer);
-    void tellEngine(const PermitWaitEstimate &outlook);
+    void updateFleet(Time now) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+    void send(const NodeId &to, PermitMessage message, PermitEffects &effects) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+    void collect(const std::vector<PermitAction> &actions, Time now, PermitEffects &effects) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+    void sendGrants(Time now, PermitEffects &effects) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+    std::string answerTo(const PermitMessage &message, Time now, PermitEffects &effects) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+    PermitWaitEstimate estimateWait(const PermitRequest &request) const ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+    void carryOut(PermitEffects effects);
+    void onSendResult(const QueuedMessage &queued, const Result<std::string> &answer);
+    void notifyEngine(const PermitWaitEstimate &estimate);
 };
 
-void PermitRunner::Private::takeInFleet(Time now)
+void PermitRunner::Private::updateFleet(Time now)
 {
     const auto newest = fleet.get();
-    if (newest == nullptr || (newest == view && !isFleetDue)) {
+    if (newest == nullptr || (newest == view && !isFleetStale)) {
         return;
     }
     view = newest;
-    isFleetDue = false;
+    isFleetStale = false;
     std::vector<NodeId> live;
     for (const NodeView &node : view->nodes) {
         live.push_back(node.id);
     }
-    client.setFleet(live, listed, now);
-    const auto reached = static_cast<double>(live.size());
-    issuer.setShare(listed > 0 ? reached / std::max<double>(listed, reached) : 1.0, now);
+    client.setFleet(live, listedNodeCount, now);
+    const auto liveCount = static_cast<double>(live.size());
+    issuer.setShare(listedNodeCount > 0 ? liveCount / std::max<double>(listedNodeCount, liveCount) : 1.0, now);
 }
 
-void PermitRunner::Private::send(const NodeId &to, PermitMessage message, Errands &errands)
+void PermitRunner::Private::send(const NodeId &to, PermitMessage message, PermitEffects &effects)
 {
     const NodeView *node = view == nullptr ? nullptr : view->node(to);
-    errands.messages.push_back({ to, node == nullptr ? std::string() : node->rpcAddress, std::move(message) });
+    effects.messages.push_back({ to, node == nullptr ? std::string() : node->rpcAddress, std::move(message) });
 }
 
-void PermitRunner::Private::collect(const std::vector<PermitAction> &actions, Time now, Errands &errands)
+void PermitRunner::Private::collect(const std::vector<PermitAction> &actions, Time now, PermitEffects &effects)
 {
     for (const PermitAction &action : actions) {
-        if (const auto *arrived = std::get_if<PermitReceived>(&action)) {
-            errands.answers.push_back({ arrived->upstream, PermitGranted { arrived->adapter, arrived->expiry } });
+        if (const auto *received = std::get_if<PermitReceived>(&action)) {
+            effects.engineEvents.push_back({ received->upstream, PermitGranted { received->adapter, received->expiry } });
             continue;
         }
-        const auto &out = std::get<SendToIssuer>(action);
-        PermitMessage message = std::visit([](const auto &what) -> PermitMessage { return what; }, out.message);
-        if (out.issuer != self) {
-            send(out.issuer, std::move(message), errands);
+        const auto &toIssuer = std::get<SendToIssuer>(action);
+        PermitMessage message = std::visit([](const auto &what) -> PermitMessage { return what; }, toIssuer.message);
+        if (toIssuer.issuer != self) {
+            send(toIssuer.issuer, std::move(message), effects);
             continue;
         }
-        answerTo(message, now, errands);
+        answerTo(message, now, effects);
         if (const auto *request = std::get_if<PermitRequest>(&message); request != nullptr && request->urgency.has_value()) {
-            const PermitWaitEstimate outlook = outlookFor(*request);
-            errands.answers.push_back({ outlook.name.upstream, PermitWaitEstimated { *outlook.urgency, outlook.wait } });
+            const PermitWaitEstimate estimate = estimateWait(*request);
+            effects.engineEvents.push_back({ estimate.name.upstream, PermitWaitEstimated { *estimate.urgency, estimate.wait } });
         }
     }
 }
 
-void PermitRunner::Private::giveOut(Time now, Errands &errands)
+void PermitRunner::Private::sendGrants(Time now, PermitEffects &effects)
 {
     for (const PermitGrant &grant : issuer.grant(now)) {
         if (grant.name.node == self) {
-            collect(client.granted(grant, now), now, errands);
+            collect(client.granted(grant, now), now, effects);
         } else {
-            send(grant.name.node, grant, errands);
+            send(grant.name.node, grant, effects);
         }
     }
 }
 
-PermitWaitEstimate PermitRunner::Private::outlookFor(const PermitRequest &request) const
+PermitWaitEstimate PermitRunner::Private::estimateWait(const PermitRequest &request) const
 {
     return { request.name, request.urgency, issuer.expectedWait(request.urgency) };
 }
 
 // Empty where there is nothing to say.
-std::string PermitRunner::Private::answerTo(const PermitMessage &message, Time now, Errands &errands)
+std::string PermitRunner::Private::answerTo(const PermitMessage &message, Time now, PermitEffects &effects)
 {
     if (const auto *request = std::get_if<PermitRequest>(&message)) {
         issuer.request(*request, now);
-        return request->name.node == self ? std::string() : encodePermitMessage(outlookFor(*request));
+        return request->name.node == self ? std::string() : encodePermitMessage(estimateWait(*request));
     }
-    if (const auto *returned = std::get_if<PermitRelease>(&message)) {
-        issuer.release(*returned, now);
+    if (const auto *released = std::get_if<PermitRelease>(&message)) {
+        issuer.release(*released, now);
     } else if (const auto *grant = std::get_if<PermitGrant>(&message)) {
-        collect(client.granted(*grant, now), now, errands);
+        collect(client.granted(*grant, now), now, effects);
     }
     return {};
 }
 
-void PermitRunner::Private::carryOut(Errands errands)
+void PermitRunner::Private::carryOut(PermitEffects effects)
 {
     {
         const absl::MutexLock lock(&mutex);
@@ -164,26 +164,26 @@
             return;
         }
     }
-    for (const Answer &answer : errands.answers) {
+    for (const EngineEvent &answer : effects.engineEvents) {
         handler(answer.upstream, answer.event);
     }
-    for (Errand &errand : errands.messages) {
-        if (errand.address.empty()) {
-            told(errand, Error { ErrorKind::PeerUnreachable, "no address of that node is known" });
+    for (QueuedMessage &queued : effects.messages) {
+        if (queued.address.empty()) {
+            onSendResult(queued, Error { ErrorKind::PeerUnreachable, "no address of that node is known" });
             continue;
         }
-        const std::string address = errand.address;
-        const std::string bytes = encodePermitMessage(errand.message);
+        const std::string address = queued.address;
+        const std::string bytes = encodePermitMessage(queued.message);
         peers.sendMessage(address, std::string(PermitPart), bytes,
-            [weak = weak_from_this(), errand = std::move(errand)](const Result<std::string> &answer) {
+            [weak = weak_from_this(), queued = std::move(queued)](const Result<std::string> &answer) {
                 if (const auto runner = weak.lock()) {
-                    runner->told(errand, answer);
+                    runner->onSendResult(queued, answer);
                 }
             });
     }
 }
 
-void PermitRunner::Private::told(const Errand &errand, const Result<std::string> &answer)
+void PermitRunner::Private::onSendResult(const QueuedMessage &queued, const Result<std::string> &answer)
 {
     {
         const absl::MutexLock lock(&mutex);
@@ -191,24 +191,24 @@
             return;
         }
         // A grant that did not arrive lapses by itself; only the giver's silence changes what this node does.
-        if (!std::holds_alternative<PermitGrant>(errand.message) && errand.to == client.issuer()) {
+        if (!std::holds_alternative<PermitGrant>(queued.message) && queued.to == client.issuer()) {
             client.onIssuerReply(answer.isOk(), clock.now());
         }
     }
     if (!answer.isOk()) {
-        componentLogger("permits")->debug("Node {} could not be told. {}", errand.to.value(), answer.error().detail);
+        componentLogger("permits")->debug("Node {} could not be told. {}", queued.to.value(), answer.error().detail);
         return;
     }
     const auto message = decodePermitMessage(answer.value());
     if (message.isOk() && std::holds_alternative<PermitWaitEstimate>(message.value())) {
-        tellEngine(std::get<PermitWaitEstimate>(message.value()));
+        notifyEngine(std::get<PermitWaitEstimate>(message.value()));
     }
 }
 
-void PermitRunner::Private::tellEngine(const PermitWaitEstimate &outlook)
+void PermitRunner::Private::notifyEngine(const PermitWaitEstimate &estimate)
 {
-    if (outlook.urgency.has_value()) {
-        handler(outlook.name.upstream, PermitWaitEstimated { *outlook.urgency, outlook.wait });
+    if (estimate.urgency.has_value()) {
+        handler(estimate.name.upstream, PermitWaitEstimated { *estimate.urgency, estimate.wait });
     }
 }
 
@@ -227,29 +227,29 @@
     d->handler = std::move(handler);
 }
 
-void PermitRunner::requestPermit(const UpstreamId &upstream, const RequestPermit &wish)
+void PermitRunner::requestPermit(const UpstreamId &upstream, const RequestPermit &requested)
 {
-    Errands errands;
+    PermitEffects effects;
     {
         const absl::MutexLock lock(&d->mutex);
         const Time now = d->clock.now();
-        const PermitRequest request { { d->self, upstream, wish.adapter }, wish.urgency, wish.waiting, wish.waited };
-        d->collect(d->client.requestPermit(request, now), now, errands);
-        d->giveOut(now, errands);
+        const PermitRequest request { { d->self, upstream, requested.adapter }, requested.urgency, requested.waiting, requested.waited };
+        d->collect(d->client.requestPermit(request, now), now, effects);
+        d->sendGrants(now, effects);
     }
-    d->carryOut(std::move(errands));
+    d->carryOut(std::move(effects));
 }
 
-void PermitRunner::release(const UpstreamId &upstream, const ReleasePermit &returned)
+void PermitRunner::release(const UpstreamId &upstream, const ReleasePermit &released)
 {
-    Errands errands;
+    PermitEffects effects;
     {
         const absl::MutexLock lock(&d->mutex);
         const Time now = d->clock.now();
-        d->collect(d->client.release({ { d->self, upstream, returned.adapter }, returned.end }, now), now, errands);
-        d->giveOut(now, errands);
+        d->collect(d->client.release({ { d->self, upstream, released.adapter }, released.end }, now), now, effects);
+        d->sendGrants(now, effects);
     }
-    d->carryOut(std::move(errands));
+    d->carryOut(std::move(effects));
 }
 
 Result<std::string> PermitRunner::receive(const std::string &message)
@@ -258,36 +258,36 @@
     if (!decoded.isOk()) {
         return decoded.error();
     }
-    Errands errands;
+    PermitEffects effects;
     std::string answer;
     {
         const absl::MutexLock lock(&d->mutex);
         const Time now = d->clock.now();
-        answer = d->answerTo(decoded.value(), now, errands);
-        d->giveOut(now, errands);
+        answer = d->answerTo(decoded.value(), now, effects);
+        d->sendGrants(now, effects);
     }
-    d->carryOut(std::move(errands));
+    d->carryOut(std::move(effects));
     return answer;
 }
 
 void PermitRunner::setListedNodeCount(int nodes)
 {
     const absl::MutexLock lock(&d->mutex);
-    d->isFleetDue = d->isFleetDue || nodes != d->listed;
-    d->listed = nodes;
+    d->isFleetStale = d->isFleetStale || nodes != d->listedNodeCount;
+    d->listedNodeCount = nodes;
 }
 
 void PermitRunner::tick()
 {
-    Errands errands;
+    PermitEffects effects;
     {
         const absl::MutexLock lock(&d->mutex);
         const Time now = d->clock.now();
-        d->takeInFleet(now);
-        d->collect(d->client.tick(now), now, errands);
-        d->giveOut(now, errands);
+        d->updateFleet(now);
+        d->collect(d->client.tick(now), now, effects);
+        d->sendGrants(now, effects);
     }
-    d->carryOut(std::move(errands));
+    d->carryOut(std::move(effects));
 }
 
 void PermitRunner::stop()
--- a/main/permitrunner.h
+++ b/main/permitrunner.h
@@ -36,8 +36,8 @@
 
     /** Only before the first requestPermit(). */
     void onAnswer(Handler handler);
-    void requestPermit(const UpstreamId &upstream, const RequestPermit &wish);
-    void release(const UpstreamId &upstream, const ReleasePermit &returned);
+    void requestPermit(const UpstreamId &upstream, const RequestPermit &requested);
+    void release(const UpstreamId &upstream, const ReleasePermit &released);
     /** A message of another node; gives the answer for it. Errors: BadRequest. */
     Result<std::string> receive(const std::string &message);
     /** How many nodes the VM list names. */
