--- a/tests/main/fixtures.h
+++ b/tests/main/fixtures.h
@@ -37,7 +37,7 @@
     void beginStream(int status, const HttpHeaders &) override
     {
         m_status = status;
-        ++m_begun;
+        ++m_startedStreams;
     }
     bool write(std::string_view data) override
     {
@@ -58,7 +58,7 @@
     }
     void onCallerGone(std::function<void()> callback) override
     {
-        m_gone = std::move(callback);
+        m_onCallerGone = std::move(callback);
     }
 
     /** Lets @p tick pass until the answer is whole or broken; false after 20 s. */
@@ -74,9 +74,9 @@
     {
         return m_status;
     }
-    int begun() const
+    int startedStreams() const
     {
-        return m_begun;
+        return m_startedStreams;
     }
     bool isFinished() const
     {
@@ -97,9 +97,9 @@
     /** Closes the connection before the answer is whole. */
     void disconnect() const
     {
-        m_gone();
+        m_onCallerGone();
     }
-    bool says(std::string_view part) const
+    bool bodyContains(std::string_view part) const
     {
         return m_body.find(part) != std::string::npos;
     }
@@ -107,11 +107,11 @@
 private:
     absl::Notification m_done;
     int m_status = 0;
-    std::atomic<int> m_begun { 0 };
+    std::atomic<int> m_startedStreams { 0 };
     bool m_isFinished = false;
     HttpHeaders m_headers;
     std::string m_body;
-    std::function<void()> m_gone;
+    std::function<void()> m_onCallerGone;
 };
 
 /** An upstream whose answers the test writes. */
--- a/tests/main/testcallerfrontend.cpp
+++ b/tests/main/testcallerfrontend.cpp
@@ -38,9 +38,9 @@
 };
 
 // Node n1 in zone a; the only engine is in zone b, where n2 owns it.
-struct TwoNodes
+struct TwoNodeFixture
 {
-    TwoNodes()
+    TwoNodeFixture()
     {
         CatalogContent content;
         content.version = ConfigVersion(2);
@@ -78,27 +78,27 @@
 
 } // namespace
 
-Test(callerfrontend, aForwardedRequestNamesTheVersionThatItResolvedTo)
+Test(callerfrontend, forwardedRequestNamesTheResolvedVersion)
 {
     // A configuration has just moved a label to a new version, and the owner of the engine has not seen it yet. Forwarded with its label,
     // the request would resolve again there and run on the version before: the caller would get an answer of the adapter it had replaced.
-    TwoNodes nodes;
+    TwoNodeFixture nodes;
     nodes.frontend.handle(nodes.completion("track=stable"), std::make_shared<Fixtures::Caller>());
     cr_assert(nodes.peers.address == "127.0.0.1:22");
     cr_assert_eq(nodes.peers.hopsSoFar, 1);
     cr_assert(nlohmann::json::parse(nodes.peers.forwarded.body)["model"] == "lessons@2", "%s", nodes.peers.forwarded.body.c_str());
 }
 
-Test(callerfrontend, aVersionThatThisNodeDoesNotKnowYetIsNoMistakeOfTheCaller)
+Test(callerfrontend, unknownForwardedVersionIsNotReady)
 {
     // The same moment, seen from the owner: it is asked for a version that only the newer configuration has. Told 'no such adapter, never
     // ask again', the caller would give up on something that is there.
-    TwoNodes nodes;
+    TwoNodeFixture nodes;
     const auto forwarded = std::make_shared<Fixtures::Caller>();
     nodes.frontend.handle(nodes.completion("lessons@3"), forwarded, 1);
-    cr_assert(forwarded->says("\"code\":\"not_ready\""));
-    cr_assert(forwarded->says("\"not_run\":true"));
+    cr_assert(forwarded->bodyContains("\"code\":\"not_ready\""));
+    cr_assert(forwarded->bodyContains("\"not_run\":true"));
     const auto direct = std::make_shared<Fixtures::Caller>();
     nodes.frontend.handle(nodes.completion("lessons@3"), direct);
-    cr_assert(direct->says("\"code\":\"unknown_selector\""));
+    cr_assert(direct->bodyContains("\"code\":\"unknown_selector\""));
 }
--- a/tests/main/testengineplacer.cpp
+++ b/tests/main/testengineplacer.cpp
@@ -14,9 +14,9 @@
 const AdapterKey Lesson { AdapterId("lesson"), AdapterVersion("1") };
 
 // Three engines, one a zone, and a node in each of the first @p nodes zones; engines of zones without one go to the others.
-struct Placer
+struct PlacerFixture
 {
-    explicit Placer(int nodes)
+    explicit PlacerFixture(int nodes)
         : placer(NodeId("n0"), ZoneId("z0"), clock, health, 1)
     {
         CatalogContent content;
@@ -38,7 +38,7 @@
     {
         return placer.choose(request, *placement, [this](const UpstreamId &id) { return depths[id.value()]; });
     }
-    void failHome()
+    void failPreferred()
     {
         for (int i = 0; i < OutlierLimits {}.failuresToEject; ++i) {
             health.onFailure(placement->candidates(Lesson).front().upstream->id);
@@ -55,38 +55,38 @@
 
 } // namespace
 
-Test(engineplacer, anEjectedHomeIsSkippedAndComesBack)
+Test(engineplacer, ejectedPreferredEngineIsSkippedUntilItRecovers)
 {
     // The engine where an adapter is at home keeps failing. Its requests go to the next engine until it has had time to recover.
-    Placer placer(1);
+    PlacerFixture placer(1);
     const auto candidates = placer.placement->candidates(Lesson);
     cr_assert(placer.choose({ Lesson })->upstream == candidates[0].upstream);
-    placer.failHome();
+    placer.failPreferred();
     cr_assert(placer.choose({ Lesson })->upstream == candidates[1].upstream);
     cr_assert(placer.choose({ Lesson, { candidates[1].upstream->id } })->upstream == candidates[2].upstream);
     placer.clock.advance(OutlierLimits {}.baseEjectionTime + OutlierLimits {}.slowStartTime);
     cr_assert(placer.choose({ Lesson })->upstream == candidates[0].upstream);
 }
 
-Test(engineplacer, theHomeOfAnotherNodeIsLeftToItUnlessItSentTheRequestHere)
+Test(engineplacer, forwardedRequestStaysOnThisNode)
 {
     // Two nodes see the fleet differently for a while. A request that was sent here must run here or be refused, not go in circles.
-    Placer placer(3);
+    PlacerFixture placer(3);
     int foreign = 0;
     for (int i = 0; i < 50; ++i) {
         const AdapterKey adapter { AdapterId("a" + std::to_string(i)), AdapterVersion("1") };
-        const auto home = placer.placement->candidates(adapter).front();
-        cr_assert(placer.choose({ adapter })->upstream == home.upstream);
-        foreign += home.owner->id == NodeId("n0") ? 0 : 1;
+        const auto preferred = placer.placement->candidates(adapter).front();
+        cr_assert(placer.choose({ adapter })->upstream == preferred.upstream);
+        foreign += preferred.owner->id == NodeId("n0") ? 0 : 1;
         cr_assert(placer.choose({ adapter, {}, true })->owner->id == NodeId("n0"));
     }
     cr_assert_geq(foreign, 20);
 }
 
-Test(engineplacer, aRequestMayGoOnToAnotherNodesEngineWhenItsOwnFailed)
+Test(engineplacer, retryMayUseEngineOfAnotherNode)
 {
     // Each of three nodes owns one engine, and the home of an adapter is gone. Its node sends the request to the next owner.
-    Placer placer(3);
+    PlacerFixture placer(3);
     int own = 0;
     for (int i = 0; i < 50; ++i) {
         const AdapterKey adapter { AdapterId("a" + std::to_string(i)), AdapterVersion("1") };
@@ -102,10 +102,10 @@
     cr_assert_geq(own, 5);
 }
 
-Test(engineplacer, aHotAdapterUsesMoreEnginesAndThenOneAgain)
+Test(engineplacer, hotAdapterSpreadsAndContracts)
 {
     // Forty trainees open the same lesson. Its home would queue them while two engines idle.
-    Placer placer(1);
+    PlacerFixture placer(1);
     std::vector<std::shared_ptr<void>> inProgress;
     for (int i = 0; i < 40; ++i) {
         inProgress.push_back(placer.placer.begin(Lesson));
--- a/tests/main/testonetimerequests.cpp
+++ b/tests/main/testonetimerequests.cpp
@@ -20,24 +20,24 @@
     return std::move(NodeRpc::start(settings).value());
 }
 
-IdempotencyKey minted(OneTimeRequests &requests)
+IdempotencyKey newKey(OneTimeRequests &requests)
 {
     return IdempotencyKey::decode(requests.mintKey(), Secret).value();
 }
 
 } // namespace
 
-Test(onetimerequests, aLeavingNodesLedgerIsTakenWholeOverNodeRpc)
+Test(onetimerequests, leavingNodeHandsOverItsLedger)
 {
     // A node with many payments behind it is replaced. The first successor cannot be reached; the next takes all batches, and a repeat
     // there gets the first receipt, without a second charge.
     constexpr int Payments = 200;
-    NodeFixture parts;
-    OneTimeRequests leaving(NodeId("n1"), Incarnation(1), *parts.settings, parts.clock);
-    OneTimeRequests staying(NodeId("n2"), Incarnation(1), *parts.settings, parts.clock);
+    NodeFixture fixture;
+    OneTimeRequests leaving(NodeId("n1"), Incarnation(1), *fixture.settings, fixture.clock);
+    OneTimeRequests staying(NodeId("n2"), Incarnation(1), *fixture.settings, fixture.clock);
     std::vector<IdempotencyKey> keys;
     for (int i = 0; i < Payments; ++i) {
-        keys.push_back(minted(leaving));
+        keys.push_back(newKey(leaving));
         cr_assert(std::holds_alternative<RunNow>(leaving.accept(keys.back(), "h", {})));
         cr_assert(leaving.markSent(keys.back()));
         leaving.complete(keys.back(), { 200, "text/plain", std::string(10'000, 'r') + std::to_string(i) });
@@ -61,11 +61,11 @@
     cr_assert_not(leaving.receiveBatch(encodeLedger(staying.seal().front(), 1000).front(), &fact).isOk(), "a sealed node takes no ledger");
 }
 
-Test(onetimerequests, aMissingBatchIsNotTakenForAWholeLedger)
+Test(onetimerequests, ledgerWithMissingBatchIsRefused)
 {
     // A batch is lost on the way. Taken for whole, the ledger would say 'not run' of payments that ran.
-    NodeFixture parts;
-    OneTimeRequests staying(NodeId("n2"), Incarnation(1), *parts.settings, parts.clock);
+    NodeFixture fixture;
+    OneTimeRequests staying(NodeId("n2"), Incarnation(1), *fixture.settings, fixture.clock);
     SealedLedger ledger { NodeId("n1"), Incarnation(1), Time(5), Duration::seconds(60), {} };
     for (std::uint64_t i = 0; i < 3; ++i) {
         ledger.records.push_back({ i, "h", true, { 200, "text/plain", std::string(1000, 'r') } });
--- a/tests/main/testownership.cpp
+++ b/tests/main/testownership.cpp
@@ -67,9 +67,9 @@
 };
 
 // One runner before such an engine, in a fleet of this node alone.
-struct OwnedEngine final : CompletionRouter
+struct OwnedEngineFixture final : CompletionRouter
 {
-    explicit OwnedEngine(std::uint64_t highest)
+    explicit OwnedEngineFixture(std::uint64_t highest)
         : upstream([this](const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) { engine.handle(request, *exchange); })
     {
         engine.highest = highest;
@@ -80,11 +80,11 @@
         spec.slots = 1;
         spec.checksFencing = true;
         runner = std::make_unique<EngineRunner>(
-            spec, EngineContext { *parts.settings, *parts.client, parts.clock, parts.metrics, parts.health, *this, &source });
+            spec, EngineContext { *fixture.settings, *fixture.client, fixture.clock, fixture.metrics, fixture.health, *this, &source });
     }
-    ~OwnedEngine()
+    ~OwnedEngineFixture()
     {
-        parts.client.reset();
+        fixture.client.reset();
     }
 
     void setOwner(const std::string &node)
@@ -106,8 +106,8 @@
         CompletionJob job;
         job.work.id = RequestId(id);
         job.work.adapter = { AdapterId(adapter), AdapterVersion("1") };
-        job.work.arrival = parts.clock.now();
-        job.work.deadline = parts.clock.now() + Duration::seconds(2);
+        job.work.arrival = fixture.clock.now();
+        job.work.deadline = fixture.clock.now() + Duration::seconds(2);
         job.path = "/v1/completions";
         job.body = "{}";
         job.requestId = "r" + std::to_string(id);
@@ -116,7 +116,7 @@
         return exchange;
     }
 
-    Fixtures::NodeFixture parts;
+    Fixtures::NodeFixture fixture;
     FencedEngine engine;
     Fixtures::Upstream upstream;
     SharedSnapshot<FleetView> fleet;
@@ -126,10 +126,10 @@
 
 } // namespace
 
-Test(ownedengine, ordersGoOutUnderATokenAboveTheHighest)
+Test(ownedengine, ordersCarryATokenAboveTheHighestSeen)
 {
     // The engine has obeyed another node before. An order without a token, or with a lower one, would be refused.
-    OwnedEngine owned((9ULL << 16U) | 3U);
+    OwnedEngineFixture owned((9ULL << 16U) | 3U);
     const auto exchange = owned.send(1, "lessons");
     cr_assert(exchange->wait([&] { owned.runner->tick(); }));
     cr_assert_eq(exchange->status(), 200);
@@ -139,10 +139,10 @@
     cr_assert_eq(owned.engine.fenced, 0);
 }
 
-Test(ownedengine, aNodeThatDoesNotOwnTheEngineSendsNothingThere)
+Test(ownedengine, nonOwnerSendsNothing)
 {
     // Its view says that another node owns the engine. What it sends could meet that node's evictions.
-    OwnedEngine owned(0);
+    OwnedEngineFixture owned(0);
     owned.setOwner("n2");
     const auto exchange = owned.send(1, "lessons");
     cr_assert(exchange->wait([&] { owned.runner->tick(); }));
@@ -151,10 +151,10 @@
     cr_assert_eq(owned.engine.runs, 0);
 }
 
-Test(ownedengine, aNewOwnerDoesNotEvictAtOnce)
+Test(ownedengine, newOwnerDoesNotEvictAtOnce)
 {
     // The only slot is taken by an adapter that the former owner may still be sending to.
-    OwnedEngine owned(1ULL << 30U);
+    OwnedEngineFixture owned(1ULL << 30U);
     owned.engine.loaded = { "kitchen@1" };
     const auto exchange = owned.send(1, "lessons");
     cr_assert(exchange->wait([&] { owned.runner->tick(); }));
@@ -162,9 +162,9 @@
     cr_assert_eq(owned.engine.evictions, 0);
 }
 
-Test(ownedengine, afterAFencedRefusalTheEngineIsClaimedAgain)
+Test(ownedengine, fencedOrderLeadsToANewClaim)
 {
-    OwnedEngine owned(0);
+    OwnedEngineFixture owned(0);
     const auto first = owned.send(1, "lessons");
     cr_assert(first->wait([&] { owned.runner->tick(); }));
     {
--- a/tests/main/testpermitrunner.cpp
+++ b/tests/main/testpermitrunner.cpp
@@ -15,11 +15,11 @@
 constexpr Duration Step(50);
 
 // Nodes whose permit messages the test carries: whole, or none of them, or none of the grants' side.
-struct World
+struct PermitTestCluster
 {
-    struct Line final : Peers
+    struct QueueingPeers final : Peers
     {
-        World *world = nullptr;
+        PermitTestCluster *cluster = nullptr;
         void forward(const std::string &, const HttpRequest &, int, const std::shared_ptr<HttpExchange> &,
             std::function<void(const Error &)>) override
         {
@@ -30,39 +30,39 @@
         void sendMessage(const std::string &address, const std::string &, const std::string &message,
             std::function<void(Result<std::string>)> done) override
         {
-            world->post.push_back({ address, message, std::move(done) });
+            cluster->messageQueue.push_back({ address, message, std::move(done) });
         }
     };
-    struct Letter
+    struct QueuedMessage
     {
         std::string address;
         std::string message;
         std::function<void(Result<std::string>)> done;
     };
-    struct Member
+    struct TestNode
     {
         std::unique_ptr<PermitRunner> runner;
         std::deque<AdapterKey> granted;
-        int expected = 0;
+        int waitEstimates = 0;
     };
 
-    explicit World(int count)
+    explicit PermitTestCluster(int count)
         : size(count)
     {
-        line.world = this;
+        peers.cluster = this;
         for (int i = 0; i < count; ++i) {
             const std::string id = "n" + std::to_string(i);
-            Member &member = members[id];
-            member.runner = std::make_unique<PermitRunner>(NodeId(id), *parts.settings, clock, fleet, line);
-            member.runner->onAnswer([&member](const UpstreamId &, const SchedulerEvent &event) {
+            TestNode &testNode = testNodes[id];
+            testNode.runner = std::make_unique<PermitRunner>(NodeId(id), *fixture.settings, clock, fleet, peers);
+            testNode.runner->onAnswer([&testNode](const UpstreamId &, const SchedulerEvent &event) {
                 if (const auto *granted = std::get_if<PermitGranted>(&event)) {
-                    member.granted.push_back(granted->adapter);
+                    testNode.granted.push_back(granted->adapter);
                 } else {
-                    ++member.expected;
+                    ++testNode.waitEstimates;
                 }
             });
         }
-        setLive(members);
+        setLive(testNodes);
     }
 
     template<typename Names>
@@ -77,14 +77,14 @@
 
     void deliver()
     {
-        while (!post.empty()) {
-            const Letter letter = std::move(post.front());
-            post.pop_front();
-            const auto at = members.find(letter.address);
-            if (isCut || at == members.end()) {
-                letter.done(Error { ErrorKind::PeerUnreachable, "cut" });
+        while (!messageQueue.empty()) {
+            const QueuedMessage queued = std::move(messageQueue.front());
+            messageQueue.pop_front();
+            const auto at = testNodes.find(queued.address);
+            if (isCut || at == testNodes.end()) {
+                queued.done(Error { ErrorKind::PeerUnreachable, "cut" });
             } else {
-                letter.done(at->second.runner->receive(letter.message));
+                queued.done(at->second.runner->receive(queued.message));
             }
         }
     }
@@ -95,18 +95,18 @@
         int loads = 0;
         for (Duration passed; passed < span; passed = passed + Step) {
             clock.advance(Step);
-            for (auto &[id, member] : members) {
-                if (!wishes.contains(id)) {
-                    wishes[id] = { AdapterId("a" + std::to_string(++serial)), AdapterVersion("1") };
-                    member.runner->requestPermit(UpstreamId("e" + id), { wishes[id], Priority::Standard, 1, Duration() });
+            for (auto &[id, testNode] : testNodes) {
+                if (!requestedAdapters.contains(id)) {
+                    requestedAdapters[id] = { AdapterId("a" + std::to_string(++serial)), AdapterVersion("1") };
+                    testNode.runner->requestPermit(UpstreamId("e" + id), { requestedAdapters[id], Priority::Standard, 1, Duration() });
                 }
-                member.runner->setListedNodeCount(size);
-                member.runner->tick();
+                testNode.runner->setListedNodeCount(size);
+                testNode.runner->tick();
                 deliver();
-                for (; !member.granted.empty(); member.granted.pop_front()) {
+                for (; !testNode.granted.empty(); testNode.granted.pop_front()) {
                     ++loads;
-                    member.runner->release(UpstreamId("e" + id), { member.granted.front(), PermitEnd::Used });
-                    wishes.erase(id);
+                    testNode.runner->release(UpstreamId("e" + id), { testNode.granted.front(), PermitEnd::Used });
+                    requestedAdapters.erase(id);
                 }
                 deliver();
             }
@@ -115,61 +115,61 @@
     }
 
     int size;
-    Fixtures::NodeFixture parts;
+    Fixtures::NodeFixture fixture;
     ManualClock clock;
     SharedSnapshot<FleetView> fleet;
-    Line line;
-    std::deque<Letter> post;
+    QueueingPeers peers;
+    std::deque<QueuedMessage> messageQueue;
     bool isCut = false;
-    std::map<std::string, Member> members;
-    std::map<std::string, AdapterKey> wishes;
+    std::map<std::string, TestNode> testNodes;
+    std::map<std::string, AdapterKey> requestedAdapters;
     int serial = 0;
 };
 
 } // namespace
 
-Test(permitrunner, theFleetTogetherKeepsToTheStoresRate)
+Test(permitrunner, fleetStaysWithinTheStoreRate)
 {
     // Popularity shifts, and the engines of all nodes want to load at once. Each by itself would take the store's whole rate, and urgent
     // callers would wait behind the rest.
-    World world(4);
-    const int loads = world.run(Duration::seconds(20));
+    PermitTestCluster cluster(4);
+    const int loads = cluster.run(Duration::seconds(20));
     cr_assert_leq(loads, 42, "two a second, and one that was saved");
     cr_assert_geq(loads, 36, "the rate is used: %d", loads);
-    int expected = 0;
-    for (const auto &[id, member] : world.members) {
-        expected += member.expected;
+    int waitEstimates = 0;
+    for (const auto &[id, testNode] : cluster.testNodes) {
+        waitEstimates += testNode.waitEstimates;
     }
-    cr_assert_gt(expected, 0, "engines hear how long they will wait");
+    cr_assert_gt(waitEstimates, 0, "engines hear how long they will wait");
 }
 
-Test(permitrunner, lostMessagesDoNotStopLoadsForGood)
+Test(permitrunner, loadsContinueDuringAPartition)
 {
     // The network between the nodes goes away and comes back. Callers whose adapter is not loaded must not wait for permits that cannot
     // come: a node goes by its part of the budget, and after the cut by the giver again.
-    World world(4);
-    world.run(Duration::seconds(5));
-    world.isCut = true;
-    const int during = world.run(Duration::seconds(20));
+    PermitTestCluster cluster(4);
+    cluster.run(Duration::seconds(5));
+    cluster.isCut = true;
+    const int during = cluster.run(Duration::seconds(20));
     // The giver itself hears of nobody and gives itself the whole rate; each of the three others has a quarter.
     cr_assert_leq(during, 80);
     cr_assert_geq(during, 40, "all nodes go on loading: %d", during);
-    world.isCut = false;
-    world.run(Duration::seconds(5));
-    const int after = world.run(Duration::seconds(20));
+    cluster.isCut = false;
+    cluster.run(Duration::seconds(5));
+    const int after = cluster.run(Duration::seconds(20));
     cr_assert_leq(after, 42);
     cr_assert_geq(after, 36);
 }
 
-Test(permitrunner, aGiverThatDiesIsFollowedByAnother)
+Test(permitrunner, deadIssuerIsReplaced)
 {
     // The giver's VM is taken away with permits out. The next node by rendezvous gives on.
-    World world(4);
-    world.run(Duration::seconds(5));
+    PermitTestCluster cluster(4);
+    cluster.run(Duration::seconds(5));
     const std::string issuer = permitIssuerOf({ NodeId("n0"), NodeId("n1"), NodeId("n2"), NodeId("n3") }).value();
-    world.members.erase(issuer);
-    world.setLive(world.members);
-    const int loads = world.run(Duration::seconds(20));
+    cluster.testNodes.erase(issuer);
+    cluster.setLive(cluster.testNodes);
+    const int loads = cluster.run(Duration::seconds(20));
     cr_assert_leq(loads, 42);
     cr_assert_geq(loads, 25, "three of four nodes have three quarters: %d", loads);
 }
--- a/tests/main/testretries.cpp
+++ b/tests/main/testretries.cpp
@@ -59,7 +59,7 @@
     Upstream m_upstream;
 };
 
-void answerWell(int, const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange)
+void answerOk(int, const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange)
 {
     exchange->respond(200, { { "X-Attempt-Id", request.header("x-attempt-id") } }, "well");
 }
@@ -171,10 +171,10 @@
 
 } // namespace
 
-Test(retries, anEngineThatLostItsAdaptersLoadsAgainAndAnswers)
+Test(retries, adapterIsReloadedAfterEngineRestart)
 {
     // An engine restarts between two requests and forgets what it had loaded. The second caller must only wait a little longer.
-    Engine engine(answerWell);
+    Engine engine(answerOk);
     Engines engines(engine.address());
     const auto first = std::make_shared<Caller>();
     engines.run(first);
@@ -182,12 +182,12 @@
     const auto second = std::make_shared<Caller>();
     engines.run(second);
     cr_assert_eq(second->status(), 200);
-    cr_assert(second->says("well"));
+    cr_assert(second->bodyContains("well"));
     cr_assert_eq(engine.loads, 2);
     cr_assert_eq(engine.completions, 2);
 }
 
-Test(retries, anEngineThatNeverKeepsItsAdapterIsGivenUpTruthfully)
+Test(retries, engineThatNeverKeepsItsAdapterIsGivenUp)
 {
     // An engine says yes to each load and forgets at once. The caller gets a refusal that is truly not run, not an endless wait.
     std::atomic<int> asked { 0 };
@@ -200,21 +200,21 @@
     const auto caller = std::make_shared<Caller>();
     engines.run(caller);
     cr_assert_eq(caller->status(), 503);
-    cr_assert(caller->says("upstream_refused"));
+    cr_assert(caller->bodyContains("upstream_refused"));
     cr_assert_eq(asked, 3);
 }
 
-Test(retries, anUnreachableEngineIsReplacedByAnother)
+Test(retries, unreachableEngineIsReplaced)
 {
     // A VM is gone and its connections are refused. Nothing was sent, so another engine answers and the caller notices nothing.
-    Engine good(answerWell);
+    Engine good(answerOk);
     Engines engines(Closed, good.address());
     const auto caller = std::make_shared<Caller>();
     engines.run(caller);
     cr_assert_eq(caller->status(), 200);
 }
 
-Test(retries, anEngineThatDiesBeforeItsFirstByteIsReplacedUnseen)
+Test(retries, failureBeforeTheFirstByteIsRetried)
 {
     // The engine took the request and died before it answered, once asked for a whole answer and once for a stream.
     for (const bool isStream : { false, true }) {
@@ -229,11 +229,11 @@
         engines.run(caller, isStream);
         cr_assert_eq(caller->status(), 200);
         cr_assert_eq(good.completions, 1);
-        cr_assert_eq(caller->begun(), isStream ? 1 : 0);
+        cr_assert_eq(caller->startedStreams(), isStream ? 1 : 0);
     }
 }
 
-Test(retries, aStreamThatTheCallerReadsIsNeverBegunAnew)
+Test(retries, startedStreamIsNotRetried)
 {
     // The engine dies in the middle of a stream. A second attempt would give the caller the first half twice; it must see the break.
     std::shared_ptr<HttpExchange> half;
@@ -242,22 +242,22 @@
         exchange->beginStream(200, {});
         exchange->write("data: one\n\n");
     });
-    Engine good(answerWell);
+    Engine good(answerOk);
     Engines engines(dying.address(), good.address());
     const auto caller = std::make_shared<Caller>();
     engines.submit(caller, true);
-    while (caller->begun() == 0) {
+    while (caller->startedStreams() == 0) {
         absl::SleepFor(absl::Milliseconds(1));
     }
     half->abort();
     engines.wait(*caller);
     cr_assert_not(caller->isFinished());
-    cr_assert(caller->says("stream_cut"));
+    cr_assert(caller->bodyContains("stream_cut"));
     cr_assert_eq(good.completions, 0);
-    cr_assert_eq(caller->begun(), 1);
+    cr_assert_eq(caller->startedStreams(), 1);
 }
 
-Test(retries, theEngineIsToldTheTimeLeft)
+Test(retries, engineReceivesTheRemainingTime)
 {
     std::atomic<int> left { 0 };
     Engine engine([&](int, const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) {
@@ -270,7 +270,7 @@
     cr_assert_leq(left, 5000);
 }
 
-Test(retries, aPaymentWhoseServiceDiesAfterReceiptIsNotSentAgain)
+Test(retries, sentPaymentIsNotRetried)
 {
     // The service books the payment and dies before it answers. Sent again, the family would be charged twice. With a key or without,
     // one run and an answer that says that it may have run; a repeat under the key must not run either.
@@ -288,17 +288,17 @@
         service.run(caller, "POST", key);
         cr_assert_eq(runs, 1);
         cr_assert_geq(caller->status(), 500);
-        cr_assert(caller->says("may_have_run") || caller->says("upstream_failed"));
+        cr_assert(caller->bodyContains("may_have_run") || caller->bodyContains("upstream_failed"));
         if (hasKey) {
             const auto again = std::make_shared<Caller>();
             service.run(again, "POST", key);
             cr_assert_eq(runs, 1);
-            cr_assert(again->says("outcome_unknown"));
+            cr_assert(again->bodyContains("outcome_unknown"));
         }
     }
 }
 
-Test(retries, aPaymentThatWasNeverSentGoesToTheOtherUpstream)
+Test(retries, unsentPaymentGoesToTheOtherUpstream)
 {
     // One VM of the service is gone: its connection is refused, so nothing ran there, and the payment runs once on the other.
     std::atomic<int> runs { 0 };
@@ -315,7 +315,7 @@
     }
 }
 
-Test(retries, aLookUpWhoseServiceDiesIsAskedElsewhere)
+Test(retries, safeMethodIsRetriedOnAnotherUpstream)
 {
     const Upstream dying([](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) { exchange->abort(); });
     const Upstream good([](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) { exchange->respond(200, {}, "ok"); });
@@ -327,7 +327,7 @@
     }
 }
 
-Test(retries, aServiceThatIsFullRefusesAsNotRun)
+Test(retries, fullServiceRefusesCallsAsNotRun)
 {
     // A service hangs while calls keep coming. Those beyond what it bears are refused at once, not run, and never reach it.
     std::atomic<int> runs { 0 };
@@ -346,7 +346,7 @@
     const auto refused = std::make_shared<Caller>();
     service.run(refused, "POST", service.runner->mintKey());
     cr_assert_eq(refused->status(), 429);
-    cr_assert(refused->says("overloaded"));
+    cr_assert(refused->bodyContains("overloaded"));
     while (runs < 2) {
         absl::SleepFor(absl::Milliseconds(1));
     }
@@ -363,13 +363,13 @@
     cr_assert_eq(runs, 2);
 }
 
-Test(retries, anEngineThatKeepsFailingIsSkipped)
+Test(retries, failingEngineIsEjected)
 {
-    NodeFixture parts;
-    parts.health.setUpstreams(ConfigVersion(1), { UpstreamId("one"), UpstreamId("other") });
+    NodeFixture fixture;
+    fixture.health.setUpstreams(ConfigVersion(1), { UpstreamId("one"), UpstreamId("other") });
     for (int i = 0; i < 5; ++i) {
-        parts.health.onFailure(UpstreamId("one"));
+        fixture.health.onFailure(UpstreamId("one"));
     }
-    cr_assert_eq(parts.health.share(UpstreamId("one")), 0);
-    cr_assert_eq(parts.health.share(UpstreamId("other")), 1);
+    cr_assert_eq(fixture.health.share(UpstreamId("one")), 0);
+    cr_assert_eq(fixture.health.share(UpstreamId("other")), 1);
 }
