--- a/main/callerfrontend.cpp
+++ b/main/callerfrontend.cpp
@@ -29,13 +29,14 @@
     "deadlines.patient_ms" };
 constexpr std::int64_t MaxDeadlineMs = 86'400'000;
 
-// A forwarded request names a version that another node's configuration has: this one is behind, and the caller made no mistake.
+// A forwarded request may name an adapter version that is only in the newer configuration of the forwarding node. The caller made no
+// mistake then, so the error is reported as not ready.
 Error asNotReady(const Error &error)
 {
     if (error.kind != ErrorKind::UnknownSelector) {
         return error;
     }
-    return { ErrorKind::NotReady, "The configuration version that has this adapter is not in force here yet. " + error.detail };
+    return { ErrorKind::NotReady, "The configuration version that has this adapter is not active on this node yet. " + error.detail };
 }
 
 void respondJson(HttpExchange &exchange, std::string body)
@@ -63,7 +64,7 @@
     std::atomic<std::uint64_t> counter { 1 };
     std::atomic<std::int64_t> lingerUntilMs { Time::never().milliseconds() };
     std::atomic<bool> isDraining { false };
-    // Only the ticking thread uses these.
+    // Accessed only by the thread that calls tick().
     std::shared_ptr<const Catalog> lastCatalog;
     std::shared_ptr<const FleetView> lastFleet;
     mutable absl::Mutex mutex;
@@ -121,7 +122,7 @@
     return runner;
 }
 
-// An engine's ownership begins with its runner. Taken over only with its first request, the engine would keep that one waiting.
+// Creating the runner starts claiming the ownership of an engine. If that began with the first request, the request would have to wait.
 void CallerFrontend::Private::createOwnedRunners()
 {
     const auto catalog = context.catalog.get();
@@ -171,7 +172,7 @@
         engine(*place->upstream)->submit(std::move(job));
         return;
     }
-    // The body names the adapter version that the request resolved to, so the other node cannot take a different one.
+    // The body names the resolved adapter version, so that the other node cannot resolve a different one.
     HttpRequest request;
     request.method = "POST";
     request.path = job.path;
@@ -230,8 +231,8 @@
     return true;
 }
 
-// Asks the owner of @p first and then those of the adapter's other engines, best first. When none can be reached and nothing left, an
-// engine of this node's own may still serve it.
+// Tries the owner of @p first and then the owners of the adapter's other engines, best first. If none can be reached, so that nothing was
+// sent, an engine of this node may still serve the request.
 void CallerFrontend::Private::forwardToOwner(
     CompletionJob job, const HttpRequest &request, const std::shared_ptr<const Placement> &placement, const std::optional<Candidate> &first)
 {
@@ -247,8 +248,8 @@
     }
     const std::string address = forward.targets.empty() ? std::string() : forward.targets.front().callerAddress;
     forward.request = forwardedRequest(request, job.work, context.clock.now());
-    // The request is bound to what it resolved to here. With its selector it would resolve again at the owner, whose configuration may be
-    // an older one, and the caller would get an answer of an adapter version that it did not ask for.
+    // The forwarded request names the adapter version that was resolved here. If it kept its selector, the owner would resolve it again,
+    // possibly with an older configuration, and the caller would get an answer from an adapter version that it did not ask for.
     forward.request.body = job.body;
     forward.hops = job.hops;
     forward.exchange = job.exchange;
@@ -304,7 +305,8 @@
     job.requestId = idText;
     job.exchange = exchange;
     job.hops = hops;
-    // At its home a request counts as demand wherever it runs, so that a spread over other nodes' engines does not hide it.
+    // The node that owns the preferred engine counts each request as demand wherever it runs, so that spreading requests over the engines
+    // of other nodes does not hide the demand.
     if (placement->candidates(adapter.value()).front().owner->id == context.self) {
         job.inProgress = placer.begin(adapter.value());
     }
@@ -351,7 +353,8 @@
     respondJson(exchange, addressBody(answer));
 }
 
-// To the successors of the start that minted the key, then to its node. Whoever cannot be asked may have run it.
+// Tries the successors of the incarnation that minted the key, then its node. A node that cannot be reached may have run the request, so
+// without an answer the outcome stays unknown.
 void CallerFrontend::Private::forwardKeyed(const ServiceJob &job, const IdempotencyKey &key)
 {
     ForwardJob forward;
@@ -364,7 +367,7 @@
         }
     }
     if (forward.targets.empty()) {
-        refuse(*job.exchange, { ErrorKind::OutcomeUnknown, "the node that minted this key has gone" }, job.requestId);
+        refuse(*job.exchange, { ErrorKind::OutcomeUnknown, "the node that minted this key is gone" }, job.requestId);
         return;
     }
     forward.request = job.request;
@@ -421,7 +424,7 @@
         }
         d->completion(request, exchange, hops, *catalog, d->placer.placement(catalog, fleet));
     } else if (path.starts_with(ServicePrefix) && (!d->isClosed() || !request.header("idempotency-key").empty())) {
-        // A repeat of a one-time request must not hear 'not run' only because this node is shutting down: its ledger knows.
+        // A repeated one-time request must not be refused as not run just because this node is shutting down: its ledger has the outcome.
         d->service(std::move(request), exchange, hops, catalog, fleet);
     } else if (d->isClosed()) {
         d->refuse(*exchange, { ErrorKind::Draining, {} }, {});
--- a/main/callerfrontend.h
+++ b/main/callerfrontend.h
@@ -11,7 +11,7 @@
 namespace ApricotStep
 {
 
-/** What the caller interface needs of the rest of the node. All must outlive it. */
+/** The parts of the node that the caller frontend uses. All must outlive it. */
 struct FrontendContext
 {
     NodeId self;
@@ -26,27 +26,27 @@
     ServiceRunner &services;
     UpstreamHealth &health;
     Peers &peers;
-    /** Who owns engines; null when nobody but this node uses them. */
+    /** Decides which node owns an engine; null if this node is the only one that uses the engines. */
     const OwnershipSource *ownership = nullptr;
-    /** Null where loads need no permit of the fleet. */
+    /** Null if loads need no load permits. */
     PermitRunner *permits = nullptr;
 };
 
-/** The caller interface: reads requests, resolves selectors and hands the work on. Thread-safe. */
+/** Handles requests on the caller port: parses them, resolves selectors and dispatches them to runners or other nodes. Thread-safe. */
 class CallerFrontend
 {
 public:
     explicit CallerFrontend(const FrontendContext &context);
     ~CallerFrontend();
 
-    /** Takes a request of the caller port, or one that another node forwarded; @p hops: forwards so far. */
+    /** Handles a request from the caller port, or one that another node forwarded. @p hops is the number of forwards so far. */
     void handle(HttpRequest request, const std::shared_ptr<HttpExchange> &exchange, int hops = 0);
-    /** From now on this node is not named in address answers and takes no new work after @p lingerUntil. */
+    /** Starts draining: address answers omit this node from now on, and new work is refused after @p lingerUntil. */
     void drain(Time lingerUntil);
     void tick();
-    /** What became of an engine's wish for a load permit. */
+    /** Passes a permit event (PermitGranted or PermitWaitEstimated) to the runner of @p upstream. */
     void onPermitEvent(const UpstreamId &upstream, const SchedulerEvent &event);
-    /** The engines that this node has run work on. */
+    /** The status of each engine that has a runner on this node. */
     std::vector<EngineStatus> engineStatus() const;
 
 private:
--- a/main/completionjob.h
+++ b/main/completionjob.h
@@ -10,44 +10,44 @@
 namespace ApricotStep
 {
 
-/** One completion on its way through this node. */
+/** A completion request that this node is processing. */
 struct CompletionJob
 {
     WorkItem work;
     /** /v1/chat/completions or /v1/completions. */
     std::string path;
-    /** The body for the engine, with the resolved adapter as its model. */
+    /** The request body for the engine, with the resolved adapter as the model. */
     std::string body;
     bool isStream = false;
-    /** Headers of the answer that tell what the request resolved to. */
+    /** Response headers that name the resolved adapter, the configuration version and the request ID. */
     HttpHeaders headers;
     std::string requestId;
     std::shared_ptr<HttpExchange> exchange;
-    /** Forwards between nodes before it came here. */
+    /** Number of times the request was forwarded between nodes. */
     int hops = 0;
-    /** Attempts made so far. */
+    /** Number of attempts that have failed. */
     int attempts = 0;
-    /** Engines that failed it. */
+    /** Engines on which an attempt failed. */
     std::vector<UpstreamId> tried;
-    /** Released when the last attempt has ended; whoever counts requests in progress sets it. */
+    /** Counts the request as in progress until the last attempt has ended; see EnginePlacer::begin(). */
     std::shared_ptr<void> inProgress;
 
-    /** Unique for each attempt, so that an answer to an earlier one is told apart. */
+    /** Unique per attempt, so that an answer to an earlier attempt is recognised. */
     std::string attemptId() const
     {
         return requestId + "." + std::to_string(attempts);
     }
 };
 
-/** Finds another engine for a completion that one failed. Thread-safe. */
+/** Finds another engine for a completion after a failed attempt. Thread-safe. */
 class CompletionRouter
 {
 public:
     virtual ~CompletionRouter() = default;
 
-    /** Whether there is an engine for @p job besides those that it tried and @p failed. */
+    /** Whether an engine other than those in CompletionJob::tried and @p failed can take @p job. */
     virtual bool hasOther(const CompletionJob &job, const UpstreamId &failed) = 0;
-    /** Hands it to such an engine, of this node or another; it ends with an answer on its exchange. */
+    /** Sends @p job to such an engine, owned by this node or another one. The job ends with an answer on its exchange. */
     virtual void routeToOther(CompletionJob job) = 0;
 };
 
--- a/main/deferredactions.h
+++ b/main/deferredactions.h
@@ -17,12 +17,12 @@
     Time since;
 };
 
-/** What the scheduler decided and the ownership of the engine does not allow yet. Thread-safe. */
+/** Dispatches and loads that wait until this node holds the ownership of the engine. Thread-safe. */
 class DeferredActions
 {
 public:
     void addDispatch(RequestId id);
-    /** An adapter that is held already stays as it is. */
+    /** Does nothing if a load of @p adapter is already deferred. */
     void addLoad(const AdapterKey &adapter, Time since);
     std::vector<RequestId> takeDispatches();
     std::vector<DeferredLoad> takeLoads();
--- a/main/delayedtasks.h
+++ b/main/delayedtasks.h
@@ -11,12 +11,12 @@
 namespace ApricotStep
 {
 
-/** Work that waits for a moment, such as a further attempt after its pause. Thread-safe. */
+/** Tasks to run at a given time, such as a retry after its backoff. Thread-safe. */
 class DelayedTasks
 {
 public:
     void add(Time due, std::function<void()> task);
-    /** Runs what is due, outside the lock. */
+    /** Runs the tasks that are due, without holding the lock. */
     void run(Time now);
 
 private:
--- a/main/enginejobs.h
+++ b/main/enginejobs.h
@@ -14,7 +14,7 @@
 namespace ApricotStep
 {
 
-/** One attempt at an engine from its arrival in the queue to its end. */
+/** One attempt on an engine, from entering the queue to its end. */
 struct EngineJob
 {
     explicit EngineJob(CompletionJob job)
@@ -24,12 +24,12 @@
     }
 
     CompletionJob what;
-    /** Belongs to the client's thread once the job is dispatched. */
+    /** Accessed only by the HTTP client's thread once the job is dispatched. */
     EngineReply reply;
     Time dispatchedAt;
-    /** How often the engine was known to have lost its adapters when this was dispatched. */
+    /** How many times the engine had been seen to lose its adapters when this job was dispatched. */
     std::uint64_t adapterLossCount = 0;
-    /** Requests that ran there when this was dispatched, itself included. */
+    /** Requests running on the engine when this job was dispatched, including this one. */
     int inFlight = 0;
     std::atomic<CallId> call { 0 };
     std::atomic<bool> isCallerGone { false };
@@ -40,19 +40,19 @@
 /**
  * The jobs of one engine. Thread-safe.
  *
- * A job is either claimed for dispatch or taken away while it waits, never both: two engines would write into one answer.
+ * A job is either claimed for dispatch or removed while it waits, never both. Otherwise two engines could write to the same response.
  */
 class EngineJobs
 {
 public:
     void add(const EngineJobPointer &job);
-    /** Null when there is none. */
+    /** Returns the job, or null if there is none. */
     EngineJobPointer find(RequestId id) const;
-    /** Removes it; null when there is none. */
+    /** Removes and returns the job, or null if there is none. */
     EngineJobPointer take(RequestId id);
-    /** From now on it doesn't wait any more; null when there is none. */
+    /** Marks the job as dispatched, so that takeWaiting() fails for it. Returns null if there is no such job. */
     EngineJobPointer claimForDispatch(RequestId id);
-    /** Removes it if it still waits; false when it does not. */
+    /** Removes the job if it has not been dispatched. Returns whether it was removed. */
     bool takeWaiting(RequestId id);
     std::vector<EngineJobPointer> waitingFor(const AdapterKey &adapter) const;
 
--- a/main/engineplacer.cpp
+++ b/main/engineplacer.cpp
@@ -35,7 +35,8 @@
     ReplicaView view(const Candidate &candidate, const PlacementRequest &request, const DepthOf &depthOf) const;
 };
 
-// Unless it takes the request as forwarded, the owner of another engine would send it back here, to the home of the adapter.
+// Skips engines of other nodes unless the request may be forwarded to them. The owner of such an engine would otherwise send the request
+// back to this node, which owns the preferred engine.
 ReplicaView EnginePlacer::Private::view(const Candidate &candidate, const PlacementRequest &request, const DepthOf &depthOf) const
 {
     const UpstreamId &id = candidate.upstream->id;
@@ -66,7 +67,7 @@
             return d->current;
         }
     }
-    // Two threads may do this at once; both come to the same result.
+    // Two threads may build the placement concurrently; both get the same result.
     auto created = std::make_shared<const Placement>(catalog, fleet);
     std::vector<UpstreamId> upstreams;
     for (const UpstreamSpec &upstream : catalog->upstreams()) {
--- a/main/engineplacer.h
+++ b/main/engineplacer.h
@@ -12,22 +12,22 @@
 namespace ApricotStep
 {
 
-/** What a request needs a place for. */
+/** A request that needs an engine. */
 struct PlacementRequest
 {
     AdapterKey adapter;
-    /** Engines that failed it. */
+    /** Engines on which an attempt failed. */
     std::vector<UpstreamId> tried;
-    /** Another node sent it here because it sees this node as the right one. */
+    /** Another node forwarded the request because, in its view, this node owns an engine for it. */
     bool isForwarded = false;
-    /** It may go to an engine of another node, which takes it as forwarded. */
+    /** The request may go to an engine of another node, which then handles it as forwarded. */
     bool mayForward = false;
 };
 
-/** Requests queued and running on an engine that this node owns. */
+/** Returns the number of requests queued and running on an engine that this node owns. */
 using DepthOf = std::function<int(const UpstreamId &)>;
 
-/** Chooses the engine for each completion that comes to this node. Thread-safe. */
+/** Chooses the engine for each completion that reaches this node. Thread-safe. */
 class EnginePlacer
 {
 public:
@@ -35,15 +35,15 @@
     EnginePlacer(NodeId self, ZoneId zone, const Clock &clock, UpstreamHealth &health, std::uint64_t seed);
     ~EnginePlacer();
 
-    /** The placement under these snapshots; worked out once for each pair. */
+    /** Returns the placement for these snapshots. The last one is kept and returned again for the same pair. */
     std::shared_ptr<const Placement> placement(
         const std::shared_ptr<const Catalog> &catalog, const std::shared_ptr<const FleetView> &fleet);
     /**
-     * The engine for @p request. One of another node only when that node is the home of the adapter or the request may be forwarded. Empty
-     * when no engine can take it now.
+     * Returns the engine for @p request, or nothing if no engine can take it now. The engine belongs to another node only if that node owns
+     * the adapter's preferred engine or the request may be forwarded.
      */
     std::optional<Candidate> choose(const PlacementRequest &request, const Placement &placement, const DepthOf &depthOf);
-    /** Counts a completion for @p adapter as in progress until what it returns is released; this must outlive that. */
+    /** Counts a completion for @p adapter as in progress until the returned handle is released. The placer must outlive the handle. */
     std::shared_ptr<void> begin(const AdapterKey &adapter);
 
 private:
--- a/main/enginereply.cpp
+++ b/main/enginereply.cpp
@@ -12,7 +12,7 @@
 constexpr std::string_view StreamEnd = "data: [DONE]";
 constexpr int OkStatus = 200;
 constexpr int ServerErrors = 500;
-// An engine says so, before it runs anything, of an adapter that it does not hold.
+// Engines send this, before running anything, if the adapter is not loaded.
 constexpr int NotLoadedStatus = 404;
 
 ReplyEnd failed(AttemptPhase phase, ErrorKind kind, std::string detail, bool isAdapterMissing = false)
@@ -37,7 +37,8 @@
         if (name == "content-type") {
             m_contentType = value;
         }
-        // An answer that names another attempt belongs to another request: a caller would read someone else's answer.
+        // An answer with a different attempt ID belongs to another attempt, possibly of another caller's request, and must not be
+        // delivered.
         if (name == "x-attempt-id" && value != m_attemptId) {
             m_isFromOtherAttempt = true;
         }
@@ -64,7 +65,8 @@
         }
         return true;
     }
-    // Begun with the first byte and not with the head: an engine that dies in between can still be replaced unseen.
+    // The stream to the caller starts with the first byte rather than with the head: if the engine fails in between, the attempt can still
+    // be retried without the caller noticing.
     if (!m_isStreamStarted) {
         m_isStreamStarted = true;
         HttpHeaders answer = m_headers;
@@ -82,21 +84,21 @@
 ReplyEnd EngineReply::end(const CallResult &result) const
 {
     if (m_isFromOtherAttempt) {
-        return failed(AttemptPhase::Unknown, ErrorKind::UpstreamFailed, "the answer belonged to another attempt");
+        return failed(AttemptPhase::Unknown, ErrorKind::UpstreamFailed, "the answer belongs to another attempt");
     }
     if (m_isTooLarge) {
-        return failed(AttemptPhase::Answered, ErrorKind::Internal, "the answer is larger than this node holds");
+        return failed(AttemptPhase::Answered, ErrorKind::Internal, "the answer exceeds the size limit of this node");
     }
     if (result.state != AttemptState::Answered) {
         const AttemptPhase phase = result.state == AttemptState::NotSent ? AttemptPhase::Queued : AttemptPhase::Unknown;
         return failed(phase, result.error, result.detail);
     }
-    // A stream that just ends looks whole to a caller; only the end event tells that it is.
+    // The end of the connection does not show whether a stream is complete; only the end event does.
     if (isStreaming() && m_tail.find(StreamEnd) == std::string::npos) {
-        return failed(AttemptPhase::Unknown, ErrorKind::StreamCut, "the engine ended the stream without its end event");
+        return failed(AttemptPhase::Unknown, ErrorKind::StreamCut, "the engine closed the stream without the end event");
     }
     if (m_status == NotLoadedStatus) {
-        return failed(AttemptPhase::Answered, ErrorKind::UpstreamRefused, "the engine does not hold the adapter", true);
+        return failed(AttemptPhase::Answered, ErrorKind::UpstreamRefused, "the adapter is not loaded on the engine", true);
     }
     if (m_status >= ServerErrors) {
         return failed(AttemptPhase::Answered, ErrorKind::UpstreamFailed, "the engine answered " + std::to_string(m_status));
--- a/main/enginereply.h
+++ b/main/enginereply.h
@@ -10,18 +10,18 @@
 namespace ApricotStep
 {
 
-/** How an attempt at an engine ended. */
+/** The result of an attempt on an engine. */
 struct ReplyEnd
 {
-    /** The caller can have the whole answer; else @p failure says why not. */
+    /** The answer is complete and can be delivered; otherwise @p failure has the reason. */
     bool isComplete = false;
     AttemptFailure failure;
     std::string detail;
 };
 
 /**
- * What an engine answers to one attempt. A stream goes on to the caller from its first byte; anything else is held until it is whole, so
- * that a failed attempt can be made again without the caller's seeing it. For the client's thread alone.
+ * Receives an engine's answer to one attempt. A stream is passed to the caller from its first byte on. Any other answer is buffered until
+ * it is complete, so that a failed attempt can be retried without the caller noticing. Used only on the HTTP client's thread.
  */
 class EngineReply
 {
@@ -29,21 +29,21 @@
     explicit EngineReply(const CompletionJob &job);
 
     void onHead(int status, const std::vector<std::pair<std::string, std::string>> &headers);
-    /** False when the caller reads more slowly than the engine writes. */
+    /** Returns false if the caller reads more slowly than the engine writes, to apply backpressure. */
     bool onData(std::string_view data, Time now);
-    /** Judges the end of the call. */
+    /** Returns the result of the attempt once the call has ended with @p result. */
     ReplyEnd end(const CallResult &result) const;
-    /** Gives the caller the rest of a whole answer. */
+    /** Sends the buffered answer to the caller, or finishes the stream. Only for a complete answer. */
     void deliver();
-    /** Ends a stream that the caller has begun to read, visibly broken. */
+    /** Sends an error event on a started stream and aborts it, so that the caller can tell that it is incomplete. */
     void abortStream(const std::string &requestId, const std::string &detail);
 
     bool hasSentToCaller() const;
     bool isFromOtherAttempt() const;
-    /** Larger than this node holds; the call should be cancelled. */
+    /** The answer exceeds the buffer limit of this node; the call should be cancelled. */
     bool isTooLarge() const;
     int status() const;
-    /** Time() before it. */
+    /** Time() until the first byte has arrived. */
     Time firstByteAt() const;
 
 private:
--- a/main/enginerunner.cpp
+++ b/main/enginerunner.cpp
@@ -24,20 +24,20 @@
 {
 
 constexpr int OkStatus = 200;
-// Where nothing better is known; long enough for a load or a change of owner to begin.
+// Used if no better value is known. Long enough for a load or a change of owner to begin.
 constexpr Duration DefaultRetryAfter = Duration::seconds(1);
 constexpr std::size_t MaxOrderAnswerBytes = 4096;
-// A batch below a quarter wastes the engine even when it is slow. Times to the first token swing with the length of prompts, so twice the
-// usual one is still no trouble.
+// A batch of less than a quarter of the maximum wastes engine capacity even if the engine is slow. The time to first token varies with the
+// prompt length, so a value of up to twice the usual one does not count as overload.
 constexpr int MinBatchDivisor = 4;
 constexpr double EngineLatencyTolerance = 2;
 
-// How an order to an engine ended.
+// The result of an order (load or eviction) to an engine.
 struct OrderResult
 {
     bool isDone = false;
     bool isUnknown = false;
-    /** The engine could not be reached, or broke off. */
+    /** The engine was unreachable, timed out or closed the connection. */
     bool isEngineFault = false;
 };
 
@@ -61,7 +61,7 @@
 void respondError(HttpExchange &exchange, ErrorKind kind, const ErrorDetails &details)
 {
     ErrorDetails adjusted = details;
-    // Advised to wait without being told how long, a caller would come back at once.
+    // A caller that is advised to wait without a delay would retry immediately.
     if (adjusted.retryAfter == Duration(0) && errorAnswer(kind).retry == RetryAdvice::AfterDelay) {
         adjusted.retryAfter = DefaultRetryAfter;
     }
@@ -94,7 +94,7 @@
     EngineJobs jobs;
     std::uint64_t adapterLossCount ABSL_GUARDED_BY(mutex) = 0;
     DelayedTasks delayedTasks;
-    /** Null when nobody else can own the engine. Set once, before the first event. */
+    /** Null if no other node can own the engine. Set once, before the first event. */
     std::unique_ptr<OwnershipRunner> ownershipRunner;
     DeferredActions deferred;
 
@@ -131,7 +131,7 @@
     void callerGone(RequestId id);
 };
 
-// Decisions are made under the lock and carried out after it, since carrying out does I/O and may come back in here.
+// Decisions are made under the lock. They are carried out after its release, since that does I/O and may call handle() again.
 void EngineRunner::Private::handle(const SchedulerEvent &event)
 {
     std::vector<SchedulerAction> actions;
@@ -168,7 +168,7 @@
         if (self->ownershipRunner != nullptr && isAnswered && isFencedAnswer(result.status, *answer)) {
             self->ownershipRunner->onOrderFenced();
         }
-        // Once sent and unanswered, the order may have been carried out all the same.
+        // An order that was sent but not answered may have been carried out.
         done({ isAnswered && result.status == OkStatus, result.state == AttemptState::Sent, !isAnswered && isUpstreamFault(result.error) });
     };
     context.client.start(std::move(call));
@@ -188,7 +188,7 @@
     }
 }
 
-// Without the ownership the load waits; the engine's slots may be another node's to fill.
+// The load is deferred while this node does not hold the ownership, since another node may be filling the engine's slots.
 void EngineRunner::Private::carryOut(const StartLoad &action)
 {
     const auto token = ownershipRunner == nullptr ? std::nullopt : ownershipRunner->loadToken();
@@ -234,7 +234,8 @@
         call.maySend = [self = shared_from_this(), token, adapter = action.adapter] {
             return self->ownershipRunner->evictToken(adapter) == token;
         };
-        // libcurl would send it again by itself on a reused connection that died; a late second one would hit what was loaded since.
+        // libcurl resends a request by itself if a reused connection fails. A late second eviction could hit an adapter that was loaded
+        // since.
         call.isRepeatable = false;
     }
     order(std::move(call), [self = shared_from_this(), adapter = action.adapter](const OrderResult &result) {
@@ -243,7 +244,8 @@
     });
 }
 
-// An eviction without answer may still arrive. Were its adapter used again at once, it would be taken from under a running request.
+// An eviction without an answer may still reach the engine. If its adapter were used again immediately, the eviction could unload it under
+// a running request, so the end of the eviction is reported after the dispatch delay.
 void EngineRunner::Private::finishEvict(const AdapterKey &adapter, const OrderResult &result)
 {
     if (!result.isUnknown) {
@@ -267,7 +269,8 @@
         });
 }
 
-// What waited for the ownership goes on, or elsewhere when this node does not own the engine any more or cannot reach it.
+// Resumes actions that were deferred until this node holds the ownership. If this node no longer owns the engine or cannot reach it, or the
+// engine is leaving, deferred requests are retried elsewhere and deferred loads fail.
 void EngineRunner::Private::resumeDeferred()
 {
     const Time now = context.clock.now();
@@ -360,8 +363,8 @@
     }
 }
 
-// After a failed load the scheduler keeps what another try may still serve. On an engine that is gone that try fails too, and callers
-// would wait out its back-off; those that another engine can take go there now.
+// After a failed load the scheduler keeps the waiting requests for another load attempt. If the engine is gone, that attempt fails too and
+// callers would wait for its backoff, so requests that another engine can take are moved there now.
 void EngineRunner::Private::rerouteWaiting(const AdapterKey &adapter)
 {
     for (const EngineJobPointer &job : jobs.waitingFor(adapter)) {
@@ -399,7 +402,7 @@
     const ReplyEnd end = job->reply.end(result);
     jobs.take(job->what.work.id);
     recordOutcome(*job, end);
-    // Before WorkFinished, which could else dispatch more to an adapter that is not there.
+    // Must precede WorkFinished, which could otherwise dispatch more requests to an adapter that is not loaded.
     if (end.failure.isAdapterMissing) {
         onAdaptersLost(*job);
     }
@@ -415,7 +418,7 @@
     afterFailure(job, end.failure, end.detail, Duration());
 }
 
-// An abandoned call says nothing of the engine.
+// A call that the caller abandoned counts neither for nor against the engine.
 void EngineRunner::Private::recordOutcome(const EngineJob &job, const ReplyEnd &end)
 {
     const bool isFault = !end.isComplete && isUpstreamFault(end.failure.kind) && !job.isCallerGone;
@@ -436,7 +439,7 @@
         if (isFault) {
             limit.onDropped(now);
         } else if (isComplete && job.reply.hasSentToCaller()) {
-            // Only streams tell the time to the first token; a whole answer's time grows with its length.
+            // Only streams measure the time to first token; the time of a buffered answer grows with its length.
             limit.onSample(job.reply.firstByteAt() - job.dispatchedAt, job.inFlight, now);
         }
         allowed = limit.limit();
@@ -448,7 +451,8 @@
     handle(BatchLimited { allowed });
 }
 
-// A restart is noticed once for each request that ran into it. Told twice, the scheduler would forget what it has loaded since.
+// Each request that hits a restart notices it. The scheduler must be told only once: a second event would make
+// it discard its record of adapters loaded since.
 void EngineRunner::Private::onAdaptersLost(const EngineJob &job)
 {
     {
@@ -458,7 +462,7 @@
         }
         ++adapterLossCount;
     }
-    log->warn("{} lost its adapters, as after a restart.", spec.id.value());
+    log->warn("{} lost its adapters and has probably restarted.", spec.id.value());
     context.health.onRestart(spec.id);
     handle(UpstreamRestarted {});
 }
@@ -539,7 +543,7 @@
     }
     job->isCallerGone = true;
     if (job->call != 0) {
-        context.client.cancel(job->call); // Its onDone ends the job.
+        context.client.cancel(job->call); // onDone() ends the job.
         return;
     }
     jobs.take(id);
--- a/main/enginerunner.h
+++ b/main/enginerunner.h
@@ -16,7 +16,7 @@
 
 class PermitRunner;
 
-/** What /status shows of an engine. */
+/** The status of an engine as shown by /status. */
 struct EngineStatus
 {
     UpstreamId id;
@@ -25,7 +25,7 @@
     std::vector<AdapterKey> residentAdapters;
 };
 
-/** What the runners of engines share. All must outlive them and every call that they started. */
+/** The parts of the node that engine runners share. All must outlive the runners and every call that these have started. */
 struct EngineContext
 {
     const Settings &settings;
@@ -34,9 +34,9 @@
     Metrics &metrics;
     UpstreamHealth &health;
     CompletionRouter &router;
-    /** Who owns engines; null when nobody but this process uses them. */
+    /** Decides which node owns an engine; null if this process is the only one that uses the engines. */
     const OwnershipSource *ownership = nullptr;
-    /** Null where loads need no permit of the fleet. */
+    /** Null if loads need no load permits. */
     PermitRunner *permits = nullptr;
 };
 
@@ -47,14 +47,14 @@
     EngineRunner(const UpstreamSpec &spec, const EngineContext &context);
     ~EngineRunner();
 
-    /** An answer to a wish for a load permit: PermitGranted or PermitWaitEstimated. */
+    /** Handles the result of a load permit request: PermitGranted or PermitWaitEstimated. */
     void onPermitEvent(const SchedulerEvent &event);
-    /** Takes a job; it ends with an answer on its exchange. */
+    /** Accepts a job, which ends with an answer on its exchange. */
     void submit(CompletionJob job);
-    /** Lets time pass; every 20 to 100 ms. */
+    /** Runs what is due. Must be called every 20 to 100 ms. */
     void tick();
     EngineStatus status() const;
-    /** Requests queued and running. */
+    /** The number of requests queued and running. */
     int depth() const;
 
 private:
@@ -63,8 +63,8 @@
 };
 
 /**
- * Answers with the row of the error table for @p kind, as a whole JSON body. A kind that advises to come back later says when, in one
- * second unless @p details knows better.
+ * Responds with the status code and JSON body that the error table has for @p kind. A kind that advises a retry after a delay gets a
+ * Retry-After header, of one second unless @p details has a value.
  */
 void respondError(HttpExchange &exchange, ErrorKind kind, const struct ErrorDetails &details);
 
--- a/main/forwarder.h
+++ b/main/forwarder.h
@@ -10,35 +10,35 @@
 namespace ApricotStep
 {
 
-/** Forwards that a request may take: one for a caller's old address, one more while the nodes' views differ. */
+/** Maximum number of forwards per request: one for a caller with an outdated address, one more while nodes have different views. */
 inline constexpr int MaxHops = 2;
 
-/** A request that other nodes may serve. */
+/** A request to be forwarded to another node. */
 struct ForwardJob
 {
     HttpRequest request;
-    /** Forwards before it came here. */
+    /** Number of times the request was forwarded before. */
     int hops = 0;
-    /** Best first. Those without an RPC address are skipped. */
+    /** Target nodes, best first. Nodes without an RPC address are skipped. */
     std::vector<NodeView> targets;
     std::shared_ptr<HttpExchange> exchange;
     std::string requestId;
-    /** Nothing left this node, and the exchange is unanswered. */
+    /** Called if no target was reached or the hop limit is exceeded: nothing was sent, and the exchange has no answer yet. */
     std::function<void(const Error &)> onNotForwarded;
 };
 
 /**
- * Passes requests on to the nodes that own their upstreams.
+ * Forwards requests to the nodes that own their upstreams.
  *
- * A caller that kept an old address, or came while the nodes' views differed, would be refused otherwise. The next target is asked only
- * when nothing can have left for the one before, so that no request reaches two nodes. Thread-safe.
+ * Without it, requests would be refused if the caller uses an outdated address or the nodes have different views. The next target is tried
+ * only if nothing can have been sent to the previous one, so that no request reaches two nodes. Thread-safe.
  */
 class Forwarder
 {
 public:
     Forwarder(Peers &peers, Metrics &metrics);
 
-    /** Errors, through onNotForwarded: TooManyHops, PeerUnreachable. */
+    /** Errors passed to onNotForwarded: TooManyHops, PeerUnreachable. */
     void forward(ForwardJob job);
 
 private:
@@ -48,7 +48,7 @@
     Metrics &m_metrics;
 };
 
-/** @p request as the owner shall see it: with the time left until the deadline of @p work, and its caller. */
+/** Returns @p request with the headers that the owner needs: the time left until the deadline of @p work, and the caller. */
 HttpRequest forwardedRequest(HttpRequest request, const WorkItem &work, Time now);
 
 } // namespace ApricotStep
--- a/main/ownershiprunner.cpp
+++ b/main/ownershiprunner.cpp
@@ -21,7 +21,7 @@
 
 constexpr int OkStatus = 200;
 constexpr std::size_t MaxReportBytes = 1U << 20U;
-// A report or a claim that takes longer is of no use: the lease that it could renew is over.
+// A report or claim that takes longer is useless, since the lease that it could renew has expired by then.
 constexpr Duration CallTimeout = Duration::seconds(2);
 
 OwnershipLimits limitsOf(const Settings &settings, const UpstreamSpec &spec)
@@ -63,7 +63,7 @@
     std::atomic<bool> isOwner { false };
     std::atomic<bool> isLeaving { false };
     std::atomic<bool> isUnresponsive { false };
-    /** Only the ticking thread uses it: the owner is worked out once for each view. */
+    /** Used to determine the owner once per view. Accessed only by the thread that calls tick(). */
     std::shared_ptr<const FleetView> lastView;
     mutable absl::Mutex mutex;
     UpstreamOwnership ownership ABSL_GUARDED_BY(mutex);
@@ -138,7 +138,7 @@
     auto report = isAnswered ? parseEngineLoadReport(body) : Result<EngineLoadReport>(Error { ErrorKind::UpstreamUnreachable, {} });
     if (!report.isOk()) {
         if (!isUnresponsive.exchange(true)) {
-            log->warn("{} gives no load report. status={} {}", spec.id.value(), result.status, report.error().detail);
+            log->warn("Reading the load report of {} failed. status={} {}", spec.id.value(), result.status, report.error().detail);
         }
         handle(ReportFailed {});
         return;
@@ -169,7 +169,7 @@
         } else if (isFencedAnswer(result.status, *body)) {
             self->handle(OrderFenced {});
         } else {
-            // An engine may well answer that it does not hold such an adapter; it has seen the token all the same.
+            // The engine may answer that no such adapter is loaded; it has recorded the token nevertheless.
             self->log->info("Claimed {} with fencing token {}.", self->spec.id.value(), token.value());
             self->handle(ClaimAccepted { token });
         }
--- a/main/ownershiprunner.h
+++ b/main/ownershiprunner.h
@@ -16,44 +16,44 @@
 namespace ApricotStep
 {
 
-/** What decides who owns an upstream. */
+/** The inputs that decide which node owns an upstream. */
 struct OwnershipSource
 {
     NodeId self;
     SharedSnapshot<FleetView> &fleet;
-    /** Whether the view may be relied on at this moment. */
+    /** Whether the fleet view is fresh enough to rely on. */
     std::function<bool()> isFresh;
-    /** Low bits of this node's fencing tokens. */
+    /** The low bits of this node's fencing tokens, which make them differ from other nodes' tokens. */
     std::function<std::uint16_t()> tokenLowBits;
 };
 
-/** Keeps this node's ownership of one engine: reads its load reports, claims it, and says what may be sent there. Thread-safe. */
+/** Maintains this node's ownership of one engine: polls its load report, claims it, and decides what may be sent to it. Thread-safe. */
 class OwnershipRunner
 {
 public:
-    /** Gets LoadReport and EvictionRule for the engine's scheduler, from any thread. */
+    /** Receives LoadReport and EvictionRule events for the engine's scheduler, on any thread. */
     using Listener = std::function<void(const SchedulerEvent &)>;
 
-    /** The references must outlive the guard and every call that it started. */
+    /** The references must outlive the runner and every call that it has started. */
     OwnershipRunner(const UpstreamSpec &spec, const Settings &settings, HttpClient &client, const Clock &clock,
         const OwnershipSource &source, Listener listener);
-    /** The listener is not called afterwards, but for calls in progress. */
+    /** After this, only calls in progress may still invoke the listener. */
     ~OwnershipRunner();
 
-    /** Takes the view in and asks for reports when they are due; every 20 to 100 ms. */
+    /** Reads the fleet view and polls the load report when due. Must be called every 20 to 100 ms. */
     void tick();
     bool isOwner() const;
-    /** The view says that the engine is leaving. */
+    /** Whether the fleet view marks the engine as leaving. */
     bool isLeaving() const;
-    /** Whether the newest report could not be had. */
+    /** Whether the last poll of the load report failed. */
     bool isUnresponsive() const;
 
-    // Ask these right before the first byte leaves.
+    // These must be checked immediately before the first byte is sent.
 
     bool mayDispatch() const;
     std::optional<FencingToken> loadToken() const;
     std::optional<FencingToken> evictToken(const AdapterKey &adapter) const;
-    /** The engine refused an order for its token. */
+    /** Must be called when the engine has refused an order because of its fencing token. */
     void onOrderFenced();
 
 private:
--- a/main/upstreamhealth.cpp
+++ b/main/upstreamhealth.cpp
@@ -70,7 +70,7 @@
     }
     if (isNewlyEjected) {
         d->metrics.ejection(upstream.value());
-        d->log->warn("{} keeps failing and is ejected for a while.", upstream.value());
+        d->log->warn("{} is temporarily ejected after repeated failures.", upstream.value());
     }
 }
 
--- a/main/upstreamhealth.h
+++ b/main/upstreamhealth.h
@@ -13,21 +13,21 @@
 namespace ApricotStep
 {
 
-/** What this node has seen of its upstreams: who is ejected, and which failed calls may be tried again. Thread-safe. */
+/** Tracks the health of upstreams as seen by this node: which are ejected, and which failed calls may be retried. Thread-safe. */
 class UpstreamHealth
 {
 public:
-    /** The references must outlive it. @p seed makes pauses between attempts differ from other nodes'. */
+    /** The references must outlive it. @p seed makes the retry jitter differ between nodes. */
     UpstreamHealth(const Clock &clock, Metrics &metrics, std::uint64_t seed);
     ~UpstreamHealth();
 
-    /** The upstreams of the configuration in force. Cheap when nothing changed. */
+    /** Sets the upstreams of the active configuration. Cheap if @p version is unchanged. */
     void setUpstreams(ConfigVersion version, const std::vector<UpstreamId> &upstreams);
-    /** @p pool names the traffic that shares a retry budget: the engines, or one service. */
+    /** @p pool names the traffic that shares a retry budget: all engines, or one service. */
     void onSuccess(const UpstreamId &upstream, const std::string &pool);
     void onFailure(const UpstreamId &upstream);
     void onRestart(const UpstreamId &upstream);
-    /** 0 when ejected, below 1 while it returns slowly. */
+    /** The share of normal traffic for @p upstream: 0 while ejected, below 1 during slow start, otherwise 1. */
     double share(const UpstreamId &upstream) const;
     RetryDecision decide(const AttemptFailure &failure, const RetryContext &retryContext, const std::string &pool);
 
@@ -36,10 +36,10 @@
     std::unique_ptr<Private> d;
 };
 
-/** The pool of all engines. */
+/** The retry budget pool that all engines share. */
 inline const std::string EnginePool = "engines";
 
-/** Whether a failed call of @p kind says something bad of the upstream itself. */
+/** Whether a failure of @p kind counts against the upstream. */
 bool isUpstreamFault(ErrorKind kind);
 
 } // namespace ApricotStep
