--- a/main/ledgerhandover.cpp
+++ b/main/ledgerhandover.cpp
@@ -15,7 +15,7 @@
 {
 
 constexpr std::size_t BatchBytes = 512U << 10U;
-// A fleet that loses a whole zone has other things to do than to take one node's ledger at the tenth try.
+// When a whole zone is lost, the remaining nodes should not be loaded with, say, a tenth attempt to hand over one node's ledger.
 constexpr std::size_t MaxTries = 5;
 
 bool sendAndWait(Peers &peers, const NodeView &node, const std::string &batch)
@@ -25,11 +25,11 @@
     peers.sendMessage(node.rpcAddress, LedgerPart, batch, [&](const Result<std::string> &answer) {
         isAccepted = answer.isOk();
         if (!isAccepted) {
-            componentLogger("ledger")->warn("{} did not take a batch. {}", node.id.value(), answer.error().detail);
+            componentLogger("ledger")->warn("{} did not accept a ledger batch. {}", node.id.value(), answer.error().detail);
         }
         done.Notify();
     });
-    done.WaitForNotification(); // The call has a time limit of its own.
+    done.WaitForNotification(); // The call has its own timeout.
     return isAccepted;
 }
 
@@ -64,7 +64,8 @@
 std::optional<NodeId> handOverLedgers(Peers &peers, const std::vector<SealedLedger> &ledgers, const std::vector<NodeView> &candidates)
 {
     for (std::size_t i = 0; i < std::min(candidates.size(), MaxTries); ++i) {
-        // A candidate that took a part and then failed holds what is true; the next one may hold the same.
+        // A candidate that failed after accepting some batches does no harm: these records are true, and the next candidate may hold them
+        // too.
         if (handOver(peers, candidates[i], ledgers)) {
             return candidates[i].id;
         }
--- a/main/ledgerhandover.h
+++ b/main/ledgerhandover.h
@@ -10,15 +10,15 @@
 namespace ApricotStep
 {
 
-/** The part of node RPC under which ledgers are handed over. */
+/** The name of the node RPC part that receives ledgers. */
 inline constexpr const char *LedgerPart = "ledger";
 
-/** Nodes that may take the ledgers of @p self, best first: all nodes of the fleet spread those of many leaving ones. */
+/** The nodes that may receive the ledgers of @p self, best first. The order differs per leaving node, which spreads the ledgers. */
 std::vector<NodeView> successorsFor(const NodeId &self, const FleetView &fleet);
 
 /**
- * Hands @p ledgers to the first of @p candidates that takes them all; waits for that. Empty when none did: then the outcomes of this
- * node's one-time requests are unknown once it has ended. Not from the RPC's thread.
+ * Sends @p ledgers to the first of @p candidates that accepts them all and returns its ID. Returns nothing if none did: the outcomes of
+ * this node's one-time requests are then unknown once it has ended. Blocks, so it must not be called on the RPC thread.
  */
 std::optional<NodeId> handOverLedgers(Peers &peers, const std::vector<SealedLedger> &ledgers, const std::vector<NodeView> &candidates);
 
--- a/main/onetimerequests.cpp
+++ b/main/onetimerequests.cpp
@@ -159,7 +159,7 @@
         }
     }
     if (std::holds_alternative<WaitForFirst>(decision)) {
-        // A caller that gives up and asks again for as long as a service hangs would otherwise leave one waiter behind each time.
+        // Otherwise a caller that disconnects and repeats its request while a service hangs would leave one waiter behind each time.
         exchange->onCallerGone([weak = std::weak_ptr<Private>(d), key, number] {
             if (const auto self = weak.lock()) {
                 self->dropWaiter(key, number);
@@ -227,7 +227,7 @@
     const NodeIncarnation start { part.node, part.incarnation };
     const absl::MutexLock lock(&d->inheritedMutex);
     if (d->isSealed) {
-        return Error { ErrorKind::Draining, "this node is leaving itself" };
+        return Error { ErrorKind::Draining, "this node is leaving as well" };
     }
     if (batch.value().first == 0) {
         d->incoming.erase(start);
--- a/main/onetimerequests.h
+++ b/main/onetimerequests.h
@@ -13,7 +13,7 @@
 namespace ApricotStep
 {
 
-/** A caller that waits for the outcome of a one-time request that another arrival runs. */
+/** A caller that repeated a one-time request and waits for the outcome of the run in progress. */
 struct OneTimeWaiter
 {
     std::shared_ptr<HttpExchange> exchange;
@@ -21,8 +21,8 @@
 };
 
 /**
- * The one-time requests that this node answers for: those under the keys that this start minted, and those that leaving nodes handed to
- * it. Thread-safe; its state stands in shards by key.
+ * The one-time requests that this node is responsible for: those with keys minted by this incarnation, and those that leaving nodes handed
+ * over. Thread-safe; its own ledger is sharded by key.
  */
 class OneTimeRequests
 {
@@ -31,34 +31,35 @@
     OneTimeRequests(NodeId self, Incarnation incarnation, const Settings &settings, const Clock &clock);
     ~OneTimeRequests();
 
-    /** A fresh idempotency key that only this start of this node runs. */
+    /** Mints an idempotency key whose request only this incarnation of this node runs. */
     std::string mintKey();
-    /** Whether this node answers for @p key. */
+    /** Whether this node is responsible for @p key. */
     bool holds(const IdempotencyKey &key) const;
-    /** Decides on an arrival; on WaitForFirst the waiter is answered by the one that runs, or dropped when its caller leaves. */
+    /** Decides what to do with a request. On WaitForFirst, @p waiter is kept until the run in progress ends or the caller disconnects. */
     LedgerDecision accept(const IdempotencyKey &key, const std::string &requestHash, OneTimeWaiter waiter);
-    /** False when it must not be sent. */
+    /** Records that the request is about to be sent. Returns false if it must not be sent. */
     bool markSent(const IdempotencyKey &key);
-    /** These return the arrivals that waited for the outcome. */
+    /** These return the waiters for the outcome, which the caller must answer. */
     std::vector<OneTimeWaiter> complete(const IdempotencyKey &key, const StoredAnswer &answer);
     std::vector<OneTimeWaiter> fail(const IdempotencyKey &key);
 
-    /** Shutdown: keys that this node has not seen yet are refused as not run. */
+    /** Shutdown: requests with keys that were not seen before are refused as not run. */
     void stopAccepting();
-    /** Shutdown: nothing runs any more; returns all that a successor must know. Ledgers that come later are refused. */
+    /** Shutdown: no request runs from now on. Returns the ledgers for a successor; ledgers received later are refused. */
     std::vector<SealedLedger> seal();
     /**
-     * Takes a batch of a leaving node's ledger. Returns whether it was the last one and the ledger is held now. Errors: BadRequest,
-     * Draining, LedgerFull.
+     * Receives a batch of a leaving node's ledger. Returns whether it was the last batch; this node is then responsible for the ledger, and
+     * @p fact is set. Errors: BadRequest, Draining, LedgerFull.
      */
     Result<bool> receiveBatch(const std::string &bytes, HandOffFact *fact);
 
-    /** Which nodes may answer for a key that this one does not hold, as the fleet tells. */
+    /** Records that a ledger was handed over, as announced in the fleet. */
     void learn(const HandOffFact &fact);
+    /** The nodes that may be responsible for @p key after a handover. */
     std::vector<NodeId> successors(const IdempotencyKey &key) const;
 
     void tick();
-    /** Requests remembered now, the inherited ones included. */
+    /** The number of requests in the ledgers, including inherited ones. */
     std::size_t size() const;
     std::size_t bytes() const;
 
--- a/main/servicelimits.cpp
+++ b/main/servicelimits.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-// A service mixes quick look-ups with slow bookings, so its latency swings far more than an engine's time to the first token.
+// A service mixes fast reads and slow writes, so its latency varies far more than an engine's time to first token.
 constexpr double ServiceLatencyTolerance = 3;
 constexpr int MinConcurrentCalls = 4;
 
--- a/main/servicelimits.h
+++ b/main/servicelimits.h
@@ -8,26 +8,26 @@
 namespace ApricotStep
 {
 
-/** How a call to a service ended, as its limit sees it. */
+/** The result of a call to a service, as counted by the concurrency limit. */
 enum class ServiceOutcome {
     Answered,
-    /** Timed out, cut off, unreachable, or refused for overload. */
+    /** Timed out, aborted, unreachable, or answered with 502, 503 or 504. */
     Failed,
-    /** Says nothing of the service. */
+    /** Counts neither for nor against the service. */
     Abandoned,
 };
 
-/** How many calls run at each upstream of the plain services, within its adaptive limit. Thread-safe. */
+/** Limits the calls in flight at each upstream of the plain services, with one adaptive limit per upstream. Thread-safe. */
 class ServiceLimits
 {
 public:
-    /** @p maxConcurrentCalls calls at once at one upstream, at least 1. */
+    /** @p maxConcurrentCalls is the upper bound of the limit of each upstream, at least 1. */
     explicit ServiceLimits(int maxConcurrentCalls);
     ~ServiceLimits();
 
-    /** Takes a place at @p upstream; false when its limit is reached. */
+    /** Counts a call to @p upstream as in flight. Returns false if the limit is reached. */
     bool tryStart(const UpstreamId &upstream);
-    /** Gives the place back; once for each tryStart() that was true. */
+    /** Ends a call in flight. Must be called once for each tryStart() that returned true. */
     void onEnd(const UpstreamId &upstream, ServiceOutcome outcome, Duration latency, Time now);
     int inFlight(const UpstreamId &upstream) const;
 
--- a/main/servicerunner.cpp
+++ b/main/servicerunner.cpp
@@ -20,16 +20,16 @@
 {
 
 constexpr std::size_t MaxAnswerBytes = 8U << 20U;
-// 502, 503 and 504 tell of a service that cannot answer; other 5xx may be the fault of the one request.
+// 502, 503 and 504 mean that the service cannot answer; other 5xx may be caused by the single request.
 constexpr int FirstGatewayError = 502;
 constexpr int LastGatewayError = 504;
 
-// One call from its arrival to its end.
+// A call from its arrival to its end.
 struct Running
 {
     ServiceJob job;
     std::vector<const UpstreamSpec *> upstreams;
-    /** Position of the upstream that the call is at. */
+    /** Index of the upstream of the current attempt. */
     std::size_t at = 0;
     int attempts = 0;
     Time arrivedAt;
@@ -56,7 +56,7 @@
     return method == "GET" || method == "HEAD" || method == "OPTIONS";
 }
 
-// 120 bits of SHA-256: enough to tell two requests apart, and short enough to stand in a std::string without memory of its own.
+// 120 bits of SHA-256 are enough to tell requests apart, and 15 bytes fit into a std::string without heap allocation.
 std::string requestHash(const ServiceJob &job)
 {
     constexpr std::size_t HashDigits = 30;
@@ -74,7 +74,8 @@
         exchange.respond(stored.status, headers, stored.body);
         return;
     }
-    // The first answer was too large to keep. The caller learns that the action is done and how, and can tell the answer by its hash.
+    // The first answer was too large to store. The caller gets its status, size and hash, which show that the request ran and identify the
+    // answer.
     headers.front().second = "application/json";
     headers.emplace_back("X-Answer-Sha256", stored.droppedHash);
     exchange.respond(stored.status, headers,
@@ -119,13 +120,13 @@
     Logger log;
     std::atomic<std::uint64_t> nextUpstream { 0 };
 
-    // True when the call is to be started now; otherwise it has been answered or waits for the first one under its key.
+    // Returns whether to start the call now. Otherwise it was answered or forwarded, or it waits for the first call with its key.
     bool admit(const RunningPointer &running);
     bool admitKeyed(const RunningPointer &running);
-    // Refuses a call that no upstream can take now.
+    // Refuses the call and returns false if the service is unknown or has no upstream.
     bool canStart(const RunningPointer &running);
     void refuseKey(const ServiceJob &job, ErrorKind kind);
-    // Begins an attempt at the next upstream after the one at @p from that has room.
+    // Starts an attempt on the first upstream with free capacity, searching from index @p from on.
     void start(const RunningPointer &running, std::size_t from);
     bool reserveUpstream(const RunningPointer &running, std::size_t from);
     HttpCall callFor(const RunningPointer &running);
@@ -141,7 +142,7 @@
 {
     const ServiceJob &job = running->job;
     const std::string text = job.request.header("idempotency-key");
-    // A safe method changes nothing: it runs afresh each time, since a stored answer to a look-up would be stale.
+    // A safe method changes nothing. It runs each time, since a stored answer to a read would be stale.
     if (text.empty() || isSafeMethod(job.request.method)) {
         return canStart(running);
     }
@@ -164,7 +165,7 @@
     const ServiceJob &job = running->job;
     const IdempotencyKey &key = running->key;
     if (!oneTimeRequests.holds(key)) {
-        // Only the start that minted the key, or its successor, knows whether it ran. Running it here would double it.
+        // Only the incarnation that minted the key, or its successor, knows whether the request ran. Running it here could run it twice.
         if (job.forwardToOwner) {
             job.forwardToOwner(job, key);
         } else {
@@ -202,7 +203,7 @@
         return true;
     }
     const ErrorKind kind = running->isKnown ? ErrorKind::NoUpstream : ErrorKind::UnknownService;
-    if (running->isKnown) { // The name of an unknown one comes from the caller, who could fill the registry with made-up ones.
+    if (running->isKnown) { // Callers could fill the metrics registry with made-up names of unknown services.
         metrics.serviceFailed(running->job.service.value(), kind);
     }
     refuse(*running->job.exchange, kind, running->job.requestId);
@@ -232,7 +233,7 @@
     return oneTimeRequests.markSent(running->key);
 }
 
-// Ejected upstreams come last: when all others are full or out, trying one is better than refusing.
+// Ejected upstreams come last: if all others are full or ejected, trying one is better than refusing the call.
 bool ServiceRunner::Private::reserveUpstream(const RunningPointer &running, std::size_t from)
 {
     const std::size_t count = running->upstreams.size();
@@ -252,7 +253,7 @@
 void ServiceRunner::Private::start(const RunningPointer &running, std::size_t from)
 {
     if (!reserveUpstream(running, from)) {
-        settleFailed(running, ErrorKind::Overloaded, "every upstream of the service runs as many calls as it bears");
+        settleFailed(running, ErrorKind::Overloaded, "every upstream of the service has reached its concurrency limit");
         return;
     }
     ++running->attempts;
@@ -317,7 +318,7 @@
 {
     recordOutcome(*running, result);
     if (running->isTooLarge) {
-        settleFailed(running, ErrorKind::UpstreamFailed, "the answer is larger than this node holds");
+        settleFailed(running, ErrorKind::UpstreamFailed, "the answer exceeds the size limit of this node");
         return;
     }
     if (result.state == AttemptState::Answered) {
--- a/main/servicerunner.h
+++ b/main/servicerunner.h
@@ -16,42 +16,42 @@
 namespace ApricotStep
 {
 
-/** One call to a plain service on its way through this node. */
+/** A call to a plain service that this node is processing. */
 struct ServiceJob
 {
-    /** Passes a call on whose key another node answers for. */
+    /** Forwards a call to the node that is responsible for its key. */
     using ForwardToOwner = std::function<void(const ServiceJob &, const IdempotencyKey &)>;
 
     HttpRequest request;
     ServiceName service;
-    /** Path at the service, with its query. */
+    /** Path and query for the request to the service. */
     std::string target;
     std::string requestId;
     std::shared_ptr<HttpExchange> exchange;
     std::shared_ptr<const Catalog> catalog;
     std::shared_ptr<const FleetView> fleet;
-    /** Forwards before it came here. */
+    /** Number of times the request was forwarded between nodes. */
     int hops = 0;
     ForwardToOwner forwardToOwner;
 };
 
-/** Calls plain services; one-time calls through the ledger of minted keys. Thread-safe. */
+/** Calls plain services. Calls with an idempotency key go through the ledger of one-time requests. Thread-safe. */
 class ServiceRunner
 {
 public:
-    /** The references must outlive the runner and every call that it started. */
+    /** The references must outlive the runner and every call that it has started. */
     ServiceRunner(NodeId self, Incarnation incarnation, const Settings &settings, HttpClient &client, const Clock &clock, Metrics &metrics,
         UpstreamHealth &health);
     ~ServiceRunner();
 
-    /** A fresh idempotency key that only this start of this node runs. */
+    /** Mints an idempotency key whose request only this incarnation of this node runs. */
     std::string mintKey();
     OneTimeRequests &oneTimeRequests();
-    /** Calls in progress; a one-time call goes on when its caller has left. */
+    /** The number of calls in progress. A one-time call continues after its caller has disconnected. */
     int activeCount() const;
-    /** Takes a call; it ends with an answer on its exchange. */
+    /** Accepts a call, which ends with an answer on its exchange. */
     void submit(ServiceJob job);
-    /** Lets time pass; every 20 to 100 ms. */
+    /** Runs what is due. Must be called every 20 to 100 ms. */
     void tick();
 
 private:
