--- a/main/permitrunner.cpp
+++ b/main/permitrunner.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-// store_rate counts loads in 100 s, so that rates below one a second are whole numbers.
+// The unit of store_rate is loads per 100 s, so that rates below one per second are whole numbers.
 constexpr double StoreRateSeconds = 100;
 
 LoadBudget budgetOf(const Settings &settings)
@@ -25,7 +25,7 @@
     return budget;
 }
 
-// What is left to do once the lock is free.
+// Messages to send and events to deliver after the lock is released.
 struct QueuedMessage
 {
     NodeId to;
@@ -141,7 +141,7 @@
     return { request.name, request.urgency, issuer.expectedWait(request.urgency) };
 }
 
-// Empty where there is nothing to say.
+// Returns an empty string if the message needs no response.
 std::string PermitRunner::Private::answerTo(const PermitMessage &message, Time now, PermitEffects &effects)
 {
     if (const auto *request = std::get_if<PermitRequest>(&message)) {
@@ -190,13 +190,13 @@
         if (isStopped) {
             return;
         }
-        // A grant that did not arrive lapses by itself; only the giver's silence changes what this node does.
+        // A grant that did not arrive expires by itself. Only whether the issuer responds changes what this node does.
         if (!std::holds_alternative<PermitGrant>(queued.message) && queued.to == client.issuer()) {
             client.onIssuerReply(answer.isOk(), clock.now());
         }
     }
     if (!answer.isOk()) {
-        componentLogger("permits")->debug("Node {} could not be told. {}", queued.to.value(), answer.error().detail);
+        componentLogger("permits")->debug("Sending a permit message to node {} failed. {}", queued.to.value(), answer.error().detail);
         return;
     }
     const auto message = decodePermitMessage(answer.value());
--- a/main/permitrunner.h
+++ b/main/permitrunner.h
@@ -15,36 +15,36 @@
 namespace ApricotStep
 {
 
-/** The part of node RPC that permit messages go to. */
+/** The name of the node RPC part that receives permit messages. */
 inline constexpr std::string_view PermitPart = "load-permits";
 
 /**
- * Carries load permits between the engines of this node and the giver, which may be this node itself. Thread-safe.
+ * Exchanges load permit messages between the engines of this node and the permit issuer, which may be this node itself. Thread-safe.
  *
- * A lost message costs time and nothing else: a request is repeated each second, a permit that was given and never arrived lapses after its
- * life, and a giver that does not answer is replaced by an even part of the budget.
+ * A lost message only costs time: requests are repeated every second, a granted permit that never arrives expires at the end of its
+ * lifetime, and while the issuer does not respond, each node uses an equal share of the budget.
  */
 class PermitRunner
 {
 public:
-    /** Gets what becomes of an engine's wish, from any thread, with no lock held. */
+    /** Receives PermitGranted and PermitWaitEstimated for an engine. Called on any thread, with no lock held. */
     using Handler = std::function<void(const UpstreamId &, const SchedulerEvent &)>;
 
     /** The references must outlive the runner, @p peers only until stop(). */
     PermitRunner(const NodeId &self, const Settings &settings, const Clock &clock, SharedSnapshot<FleetView> &fleet, Peers &peers);
     ~PermitRunner();
 
-    /** Only before the first requestPermit(). */
+    /** Sets the handler. Must be called before the first requestPermit(). */
     void onAnswer(Handler handler);
     void requestPermit(const UpstreamId &upstream, const RequestPermit &requested);
     void release(const UpstreamId &upstream, const ReleasePermit &released);
-    /** A message of another node; gives the answer for it. Errors: BadRequest. */
+    /** Handles a message from another node and returns the response. Errors: BadRequest. */
     Result<std::string> receive(const std::string &message);
-    /** How many nodes the VM list names. */
+    /** Sets the number of nodes in the VM list. */
     void setListedNodeCount(int nodes);
-    /** Lets time pass; every 20 to 100 ms. */
+    /** Runs what is due. Must be called every 20 to 100 ms. */
     void tick();
-    /** From here on nothing is sent and no answer comes. */
+    /** Stops sending messages and calling the handler. */
     void stop();
 
 private:
