--- a/tests/main/fixtures.h
+++ b/tests/main/fixtures.h
@@ -16,14 +16,14 @@
 #include <memory>
 #include <string>
 
-// What tests of the runners share: a caller's side that records its answer, and an upstream on a port of its own.
+// Fixtures that tests of the runners share: a caller that records its answer, an upstream on its own port, and the other parts of a node.
 
 namespace Fixtures
 {
 
 using namespace ApricotStep;
 
-/** The caller's side of one request. */
+/** The caller's side of a request; records the answer. */
 class Caller final : public HttpExchange
 {
 public:
@@ -61,7 +61,7 @@
         m_onCallerGone = std::move(callback);
     }
 
-    /** Lets @p tick pass until the answer is whole or broken; false after 20 s. */
+    /** Calls @p tick until the answer is complete or aborted. Returns false after 20 s. */
     bool wait(const std::function<void()> &tick)
     {
         for (int i = 0; i < 4000 && !m_done.HasBeenNotified(); ++i) {
@@ -94,7 +94,7 @@
     {
         return std::any_of(m_headers.begin(), m_headers.end(), [name](const auto &header) { return header.first == name; });
     }
-    /** Closes the connection before the answer is whole. */
+    /** Closes the connection before the answer is complete. */
     void disconnect() const
     {
         m_onCallerGone();
@@ -114,7 +114,7 @@
     std::function<void()> m_onCallerGone;
 };
 
-/** An upstream whose answers the test writes. */
+/** An HTTP server whose answers come from the test's handler. */
 class Upstream
 {
 public:
@@ -131,7 +131,7 @@
     std::unique_ptr<HttpServer> m_server;
 };
 
-/** The rest of a node, as far as runners need it. The client ends first, while what its callbacks use still stands. */
+/** The parts of a node that runners need. The client is destroyed first, before the objects that its callbacks use. */
 struct NodeFixture
 {
     SystemClock clock;
--- a/tests/main/testcallerfrontend.cpp
+++ b/tests/main/testcallerfrontend.cpp
@@ -14,7 +14,7 @@
     "[node]\nid = n1\nzone = a\n[platform]\nconfig_url = http://127.0.0.1:1\nvm_list_url = http://127.0.0.1:2\n"
     "[fleet]\nsecret = 0123456789abcdef\n";
 
-// Keeps what was forwarded; nothing is sent.
+// Records the forwarded request without sending it.
 class RecordingPeers final : public Peers
 {
 public:
@@ -37,7 +37,7 @@
     int hopsSoFar = 0;
 };
 
-// Node n1 in zone a; the only engine is in zone b, where n2 owns it.
+// Node n1 in zone a; the only engine is in zone b and is owned by n2.
 struct TwoNodeFixture
 {
     TwoNodeFixture()
@@ -80,8 +80,8 @@
 
 Test(callerfrontend, forwardedRequestNamesTheResolvedVersion)
 {
-    // A configuration has just moved a label to a new version, and the owner of the engine has not seen it yet. Forwarded with its label,
-    // the request would resolve again there and run on the version before: the caller would get an answer of the adapter it had replaced.
+    // A new configuration has moved a label to a new version, and the owner of the engine does not have that configuration yet. If the
+    // request were forwarded with its label, the owner would run it on the old version.
     TwoNodeFixture nodes;
     nodes.frontend.handle(nodes.completion("track=stable"), std::make_shared<Fixtures::Caller>());
     cr_assert(nodes.peers.address == "127.0.0.1:22");
@@ -91,8 +91,8 @@
 
 Test(callerfrontend, unknownForwardedVersionIsNotReady)
 {
-    // The same moment, seen from the owner: it is asked for a version that only the newer configuration has. Told 'no such adapter, never
-    // ask again', the caller would give up on something that is there.
+    // The owner receives a forwarded request for a version that only a newer configuration has. An answer that the adapter does not exist
+    // and that a retry is useless would make the caller give up on an existing adapter.
     TwoNodeFixture nodes;
     const auto forwarded = std::make_shared<Fixtures::Caller>();
     nodes.frontend.handle(nodes.completion("lessons@3"), forwarded, 1);
--- a/tests/main/testengineplacer.cpp
+++ b/tests/main/testengineplacer.cpp
@@ -13,7 +13,8 @@
 
 const AdapterKey Lesson { AdapterId("lesson"), AdapterVersion("1") };
 
-// Three engines, one a zone, and a node in each of the first @p nodes zones; engines of zones without one go to the others.
+// Three engines, one per zone, and a node in each of the first @p nodes zones. Engines in zones without a node are owned by the other
+// nodes.
 struct PlacerFixture
 {
     explicit PlacerFixture(int nodes)
@@ -57,7 +58,7 @@
 
 Test(engineplacer, ejectedPreferredEngineIsSkippedUntilItRecovers)
 {
-    // The engine where an adapter is at home keeps failing. Its requests go to the next engine until it has had time to recover.
+    // The preferred engine of an adapter fails repeatedly. Requests must go to the next engine until the preferred one has recovered.
     PlacerFixture placer(1);
     const auto candidates = placer.placement->candidates(Lesson);
     cr_assert(placer.choose({ Lesson })->upstream == candidates[0].upstream);
@@ -70,7 +71,8 @@
 
 Test(engineplacer, forwardedRequestStaysOnThisNode)
 {
-    // Two nodes see the fleet differently for a while. A request that was sent here must run here or be refused, not go in circles.
+    // Two nodes have different views of the fleet. A request that was forwarded to this node must run here or be refused; forwarding it
+    // again could send it in a loop.
     PlacerFixture placer(3);
     int foreign = 0;
     for (int i = 0; i < 50; ++i) {
@@ -85,7 +87,8 @@
 
 Test(engineplacer, retryMayUseEngineOfAnotherNode)
 {
-    // Each of three nodes owns one engine, and the home of an adapter is gone. Its node sends the request to the next owner.
+    // Each of three nodes owns one engine, and the preferred engine of an adapter is gone. The node that owns it must forward the request
+    // to the owner of the next engine.
     PlacerFixture placer(3);
     int own = 0;
     for (int i = 0; i < 50; ++i) {
@@ -104,7 +107,7 @@
 
 Test(engineplacer, hotAdapterSpreadsAndContracts)
 {
-    // Forty trainees open the same lesson. Its home would queue them while two engines idle.
+    // Forty callers use the same adapter at once. On the preferred engine alone they would queue while two engines are idle.
     PlacerFixture placer(1);
     std::vector<std::shared_ptr<void>> inProgress;
     for (int i = 0; i < 40; ++i) {
--- a/tests/main/testonetimerequests.cpp
+++ b/tests/main/testonetimerequests.cpp
@@ -29,8 +29,8 @@
 
 Test(onetimerequests, leavingNodeHandsOverItsLedger)
 {
-    // A node with many payments behind it is replaced. The first successor cannot be reached; the next takes all batches, and a repeat
-    // there gets the first receipt, without a second charge.
+    // A node that has run many payments leaves. The first successor is unreachable; the next one accepts all batches. A repeated request
+    // there must get the stored answer, without a second charge.
     constexpr int Payments = 200;
     NodeFixture fixture;
     OneTimeRequests leaving(NodeId("n1"), Incarnation(1), *fixture.settings, fixture.clock);
@@ -58,12 +58,13 @@
         const auto decision = staying.accept(keys[static_cast<std::size_t>(i)], "h", {});
         cr_assert(std::get<Replay>(decision).answer.body.ends_with("r" + std::to_string(i)));
     }
-    cr_assert_not(leaving.receiveBatch(encodeLedger(staying.seal().front(), 1000).front(), &fact).isOk(), "a sealed node takes no ledger");
+    cr_assert_not(
+        leaving.receiveBatch(encodeLedger(staying.seal().front(), 1000).front(), &fact).isOk(), "a sealed node accepts no ledger");
 }
 
 Test(onetimerequests, ledgerWithMissingBatchIsRefused)
 {
-    // A batch is lost on the way. Taken for whole, the ledger would say 'not run' of payments that ran.
+    // A batch is lost in transit. If the ledger were accepted as complete, payments that ran would be reported as not run.
     NodeFixture fixture;
     OneTimeRequests staying(NodeId("n2"), Incarnation(1), *fixture.settings, fixture.clock);
     SealedLedger ledger { NodeId("n1"), Incarnation(1), Time(5), Duration::seconds(60), {} };
--- a/tests/main/testownership.cpp
+++ b/tests/main/testownership.cpp
@@ -16,7 +16,7 @@
 
 using Json = nlohmann::json;
 
-// An engine that keeps the highest fencing token, refuses lower ones, and counts its orders.
+// An engine that records the highest fencing token, refuses lower ones, and counts its orders.
 struct FencedEngine
 {
     std::mutex mutex;
@@ -66,7 +66,7 @@
     }
 };
 
-// One runner before such an engine, in a fleet of this node alone.
+// A runner for such an engine, in a fleet that consists of this node.
 struct OwnedEngineFixture final : CompletionRouter
 {
     explicit OwnedEngineFixture(std::uint64_t highest)
@@ -128,7 +128,7 @@
 
 Test(ownedengine, ordersCarryATokenAboveTheHighestSeen)
 {
-    // The engine has obeyed another node before. An order without a token, or with a lower one, would be refused.
+    // The engine has accepted orders from another node before. It would refuse an order without a token or with a lower one.
     OwnedEngineFixture owned((9ULL << 16U) | 3U);
     const auto exchange = owned.send(1, "lessons");
     cr_assert(exchange->wait([&] { owned.runner->tick(); }));
@@ -141,7 +141,7 @@
 
 Test(ownedengine, nonOwnerSendsNothing)
 {
-    // Its view says that another node owns the engine. What it sends could meet that node's evictions.
+    // The node's view has another node as the owner of the engine. A request sent anyway could hit an adapter that the owner is evicting.
     OwnedEngineFixture owned(0);
     owned.setOwner("n2");
     const auto exchange = owned.send(1, "lessons");
@@ -153,7 +153,7 @@
 
 Test(ownedengine, newOwnerDoesNotEvictAtOnce)
 {
-    // The only slot is taken by an adapter that the former owner may still be sending to.
+    // The only slot holds an adapter to which the previous owner may still be sending requests.
     OwnedEngineFixture owned(1ULL << 30U);
     owned.engine.loaded = { "kitchen@1" };
     const auto exchange = owned.send(1, "lessons");
@@ -164,6 +164,7 @@
 
 Test(ownedengine, fencedOrderLeadsToANewClaim)
 {
+    // Another node has claimed the engine with a higher token. The owner must claim it again before it can serve requests.
     OwnedEngineFixture owned(0);
     const auto first = owned.send(1, "lessons");
     cr_assert(first->wait([&] { owned.runner->tick(); }));
--- a/tests/main/testpermitrunner.cpp
+++ b/tests/main/testpermitrunner.cpp
@@ -14,7 +14,7 @@
 
 constexpr Duration Step(50);
 
-// Nodes whose permit messages the test carries: whole, or none of them, or none of the grants' side.
+// Nodes whose permit messages the test queues and then delivers, or drops while isCut is set.
 struct PermitTestCluster
 {
     struct QueueingPeers final : Peers
@@ -89,7 +89,8 @@
         }
     }
 
-    // Each node wants a new adapter whenever it has none in wish; a load that was granted ends at once.
+    // Each node requests a permit for a new adapter whenever it has no request pending. A granted load ends immediately. Returns the number
+    // of loads.
     int run(Duration span)
     {
         int loads = 0;
@@ -130,30 +131,30 @@
 
 Test(permitrunner, fleetStaysWithinTheStoreRate)
 {
-    // Popularity shifts, and the engines of all nodes want to load at once. Each by itself would take the store's whole rate, and urgent
-    // callers would wait behind the rest.
+    // Popularity shifts, and the engines of all nodes need to load at once. Without permits each node would use the whole rate of the
+    // store, and urgent callers would wait behind the others.
     PermitTestCluster cluster(4);
     const int loads = cluster.run(Duration::seconds(20));
-    cr_assert_leq(loads, 42, "two a second, and one that was saved");
+    cr_assert_leq(loads, 42, "two per second, and one saved permit");
     cr_assert_geq(loads, 36, "the rate is used: %d", loads);
     int waitEstimates = 0;
     for (const auto &[id, testNode] : cluster.testNodes) {
         waitEstimates += testNode.waitEstimates;
     }
-    cr_assert_gt(waitEstimates, 0, "engines hear how long they will wait");
+    cr_assert_gt(waitEstimates, 0, "engines receive wait estimates");
 }
 
 Test(permitrunner, loadsContinueDuringAPartition)
 {
-    // The network between the nodes goes away and comes back. Callers whose adapter is not loaded must not wait for permits that cannot
-    // come: a node goes by its part of the budget, and after the cut by the giver again.
+    // The network between the nodes fails and recovers. Callers whose adapter is not loaded must not wait for permits that cannot arrive:
+    // during the partition each node uses its share of the budget, afterwards the issuer's permits again.
     PermitTestCluster cluster(4);
     cluster.run(Duration::seconds(5));
     cluster.isCut = true;
     const int during = cluster.run(Duration::seconds(20));
-    // The giver itself hears of nobody and gives itself the whole rate; each of the three others has a quarter.
+    // The issuer receives no requests from others and grants itself the whole rate; each of the three other nodes uses a quarter.
     cr_assert_leq(during, 80);
-    cr_assert_geq(during, 40, "all nodes go on loading: %d", during);
+    cr_assert_geq(during, 40, "all nodes continue to load: %d", during);
     cluster.isCut = false;
     cluster.run(Duration::seconds(5));
     const int after = cluster.run(Duration::seconds(20));
@@ -163,7 +164,7 @@
 
 Test(permitrunner, deadIssuerIsReplaced)
 {
-    // The giver's VM is taken away with permits out. The next node by rendezvous gives on.
+    // The issuer's VM is lost while permits are outstanding. The next node by rendezvous hashing must take over as issuer.
     PermitTestCluster cluster(4);
     cluster.run(Duration::seconds(5));
     const std::string issuer = permitIssuerOf({ NodeId("n0"), NodeId("n1"), NodeId("n2"), NodeId("n3") }).value();
@@ -171,5 +172,5 @@
     cluster.setLive(cluster.testNodes);
     const int loads = cluster.run(Duration::seconds(20));
     cr_assert_leq(loads, 42);
-    cr_assert_geq(loads, 25, "three of four nodes have three quarters: %d", loads);
+    cr_assert_geq(loads, 25, "three of four nodes use three quarters of the rate: %d", loads);
 }
--- a/tests/main/testretries.cpp
+++ b/tests/main/testretries.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Nothing listens here.
+// No server listens on this address.
 const std::string Closed = "127.0.0.1:9";
 const std::string Stream = "data: one\n\ndata: [DONE]\n\n";
 
@@ -21,7 +21,7 @@
     return spec;
 }
 
-// An engine that holds adapters, with a hook for completions: the number of the completion tells how often one arrived.
+// An engine that keeps track of its loaded adapter. Completions go to a callback, which also gets the number of completions so far.
 class Engine
 {
 public:
@@ -64,7 +64,7 @@
     exchange->respond(200, { { "X-Attempt-Id", request.header("x-attempt-id") } }, "well");
 }
 
-// Two engines at most: the first, and another for what fails there.
+// One engine, and optionally another one for requests that fail on the first.
 struct Engines : NodeFixture, CompletionRouter
 {
     explicit Engines(const std::string &first, const std::string &second = {})
@@ -121,7 +121,7 @@
     std::unique_ptr<EngineRunner> other;
 };
 
-// A plain service of some upstreams.
+// A plain service with one upstream per address.
 struct Service : NodeFixture
 {
     explicit Service(const std::vector<std::string> &addresses)
@@ -173,7 +173,7 @@
 
 Test(retries, adapterIsReloadedAfterEngineRestart)
 {
-    // An engine restarts between two requests and forgets what it had loaded. The second caller must only wait a little longer.
+    // An engine restarts between two requests and loses its adapters. The second request must succeed after a reload.
     Engine engine(answerOk);
     Engines engines(engine.address());
     const auto first = std::make_shared<Caller>();
@@ -189,7 +189,8 @@
 
 Test(retries, engineThatNeverKeepsItsAdapterIsGivenUp)
 {
-    // An engine says yes to each load and forgets at once. The caller gets a refusal that is truly not run, not an endless wait.
+    // An engine accepts each load but never has the adapter. The caller must get a refusal with the correct not-run state instead of
+    // waiting without end.
     std::atomic<int> asked { 0 };
     const Upstream forgetful([&](const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) {
         const bool isLoad = request.path == "/v1/load_lora_adapter";
@@ -206,7 +207,7 @@
 
 Test(retries, unreachableEngineIsReplaced)
 {
-    // A VM is gone and its connections are refused. Nothing was sent, so another engine answers and the caller notices nothing.
+    // A VM is gone and connections to it are refused. Nothing was sent, so another engine must answer and the caller sees no error.
     Engine good(answerOk);
     Engines engines(Closed, good.address());
     const auto caller = std::make_shared<Caller>();
@@ -216,7 +217,7 @@
 
 Test(retries, failureBeforeTheFirstByteIsRetried)
 {
-    // The engine took the request and died before it answered, once asked for a whole answer and once for a stream.
+    // The engine accepts the request and fails before it answers, once for a buffered answer and once for a stream.
     for (const bool isStream : { false, true }) {
         Engine dying([](int, const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) { exchange->abort(); });
         Engine good([](int, const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) {
@@ -235,7 +236,8 @@
 
 Test(retries, startedStreamIsNotRetried)
 {
-    // The engine dies in the middle of a stream. A second attempt would give the caller the first half twice; it must see the break.
+    // The engine fails in the middle of a stream. A retry would send the first half to the caller twice; the caller must see an aborted
+    // stream.
     std::shared_ptr<HttpExchange> half;
     Engine dying([&](int, const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) {
         half = exchange;
@@ -272,8 +274,8 @@
 
 Test(retries, sentPaymentIsNotRetried)
 {
-    // The service books the payment and dies before it answers. Sent again, the family would be charged twice. With a key or without,
-    // one run and an answer that says that it may have run; a repeat under the key must not run either.
+    // The service runs the payment and fails before it answers. A retry would charge the payer twice. With and without a key, the payment
+    // must run once and the answer must say that it may have run; a repeated request with the same key must not run either.
     for (const bool hasKey : { false, true }) {
         std::atomic<int> runs { 0 };
         const auto book = [&](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) {
@@ -300,7 +302,7 @@
 
 Test(retries, unsentPaymentGoesToTheOtherUpstream)
 {
-    // One VM of the service is gone: its connection is refused, so nothing ran there, and the payment runs once on the other.
+    // One VM of the service is gone and refuses connections, so nothing ran there. The payment must run once on the other upstream.
     std::atomic<int> runs { 0 };
     const Upstream good([&](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) {
         ++runs;
@@ -317,6 +319,7 @@
 
 Test(retries, safeMethodIsRetriedOnAnotherUpstream)
 {
+    // One upstream fails after it has received a GET. The request changes nothing, so it may be sent to the other upstream.
     const Upstream dying([](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) { exchange->abort(); });
     const Upstream good([](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) { exchange->respond(200, {}, "ok"); });
     Service service({ dying.address(), good.address() });
@@ -329,7 +332,8 @@
 
 Test(retries, fullServiceRefusesCallsAsNotRun)
 {
-    // A service hangs while calls keep coming. Those beyond what it bears are refused at once, not run, and never reach it.
+    // A service hangs while calls keep arriving. Calls beyond its concurrency limit must be refused immediately as not run and never reach
+    // it.
     std::atomic<int> runs { 0 };
     absl::Mutex mutex;
     std::vector<std::shared_ptr<HttpExchange>> held;
@@ -365,6 +369,7 @@
 
 Test(retries, failingEngineIsEjected)
 {
+    // An engine that fails repeatedly must get no traffic, while others keep theirs.
     NodeFixture fixture;
     fixture.health.setUpstreams(ConfigVersion(1), { UpstreamId("one"), UpstreamId("other") });
     for (int i = 0; i < 5; ++i) {
