--- a/tests/main/testretries.cpp
+++ b/tests/main/testretries.cpp
@@ -191,18 +191,18 @@
 {
     // An engine accepts each load but never has the adapter. The caller must get a refusal with the correct not-run state instead of
     // waiting without end.
-    std::atomic<int> asked { 0 };
-    const Upstream forgetful([&](const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) {
+    std::atomic<int> completionRequests { 0 };
+    const Upstream engineWithoutAdapter([&](const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) {
         const bool isLoad = request.path == "/v1/load_lora_adapter";
-        asked += isLoad ? 0 : 1;
+        completionRequests += isLoad ? 0 : 1;
         exchange->respond(isLoad ? 200 : 404, {}, "{}");
     });
-    Engines engines(forgetful.address());
+    Engines engines(engineWithoutAdapter.address());
     const auto caller = std::make_shared<Caller>();
     engines.run(caller);
     cr_assert_eq(caller->status(), 503);
     cr_assert(caller->bodyContains("upstream_refused"));
-    cr_assert_eq(asked, 3);
+    cr_assert_eq(completionRequests, 3);
 }
 
 Test(retries, unreachableEngineIsReplaced)
@@ -238,9 +238,9 @@
 {
     // The engine fails in the middle of a stream. A retry would send the first half to the caller twice; the caller must see an aborted
     // stream.
-    std::shared_ptr<HttpExchange> half;
+    std::shared_ptr<HttpExchange> startedStream;
     Engine dying([&](int, const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) {
-        half = exchange;
+        startedStream = exchange;
         exchange->beginStream(200, {});
         exchange->write("data: one\n\n");
     });
@@ -251,7 +251,7 @@
     while (caller->startedStreams() == 0) {
         absl::SleepFor(absl::Milliseconds(1));
     }
-    half->abort();
+    startedStream->abort();
     engines.wait(*caller);
     cr_assert_not(caller->isFinished());
     cr_assert(caller->bodyContains("stream_cut"));
@@ -278,12 +278,12 @@
     // must run once and the answer must say that it may have run; a repeated request with the same key must not run either.
     for (const bool hasKey : { false, true }) {
         std::atomic<int> runs { 0 };
-        const auto book = [&](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) {
+        const auto failPayment = [&](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) {
             ++runs;
             exchange->abort();
         };
-        const Upstream one(book);
-        const Upstream two(book);
+        const Upstream one(failPayment);
+        const Upstream two(failPayment);
         Service service({ one.address(), two.address() });
         const std::string key = hasKey ? service.runner->mintKey() : "";
         const auto caller = std::make_shared<Caller>();
