--- a/main/enginejobs.cpp
+++ b/main/enginejobs.cpp
@@ -6,7 +6,7 @@
 void EngineJobs::add(const EngineJobPointer &job)
 {
     const absl::MutexLock lock(&m_mutex);
-    m_entries.insert_or_assign(job->what.work.id, Entry { job });
+    m_entries.insert_or_assign(job->completion.work.id, Entry { job });
 }
 
 EngineJobPointer EngineJobs::find(RequestId id) const
@@ -55,7 +55,7 @@
     std::vector<EngineJobPointer> waiting;
     const absl::MutexLock lock(&m_mutex);
     for (const auto &[id, entry] : m_entries) {
-        if (!entry.isDispatched && entry.job->what.work.adapter == adapter) {
+        if (!entry.isDispatched && entry.job->completion.work.adapter == adapter) {
             waiting.push_back(entry.job);
         }
     }
--- a/main/enginejobs.h
+++ b/main/enginejobs.h
@@ -18,12 +18,12 @@
 struct EngineJob
 {
     explicit EngineJob(CompletionJob job)
-        : what(std::move(job))
-        , reply(what)
+        : completion(std::move(job))
+        , reply(completion)
     {
     }
 
-    CompletionJob what;
+    CompletionJob completion;
     /** Accessed only by the HTTP client's thread once the job is dispatched. */
     EngineReply reply;
     Time dispatchedAt;
--- a/main/enginerunner.cpp
+++ b/main/enginerunner.cpp
@@ -114,7 +114,7 @@
     void startLoad(const AdapterKey &adapter, std::optional<FencingToken> token);
     void startDispatch(RequestId id);
 
-    void submit(CompletionJob what);
+    void submit(CompletionJob completion);
     void rerouteWaiting(const AdapterKey &adapter);
     RetryContext retryContextOf(const EngineJob &job);
     HttpCall callFor(const EngineJobPointer &job);
@@ -280,7 +280,7 @@
         const EngineJobPointer job = jobs.find(id);
         if (job == nullptr || ownershipRunner->mayDispatch()) {
             startDispatch(id);
-        } else if (isLost || now >= job->what.work.deadline) {
+        } else if (isLost || now >= job->completion.work.deadline) {
             release(id, isLost ? kind : ErrorKind::DeadlinePassed);
         } else {
             deferred.addDispatch(id);
@@ -333,19 +333,19 @@
         job->inFlight = scheduler.runningCount();
     }
     job->call = context.client.start(callFor(job));
-    job->what.exchange->onDrained([self = shared_from_this(), job] { self->context.client.resume(job->call); });
+    job->completion.exchange->onDrained([self = shared_from_this(), job] { self->context.client.resume(job->call); });
 }
 
 HttpCall EngineRunner::Private::callFor(const EngineJobPointer &job)
 {
-    const CompletionJob &what = job->what;
+    const CompletionJob &completion = job->completion;
     HttpCall call;
     call.method = "POST";
-    call.url = "http://" + spec.address + what.path;
-    call.headers = { { "Content-Type", "application/json" }, { std::string(AttemptHeader), what.attemptId() },
-        { "X-Priority", std::string(PriorityNames[static_cast<std::size_t>(what.work.priority)]) },
-        { "X-Deadline-Ms", std::to_string(timeLeft(what.work.deadline, context.clock.now()).milliseconds()) } };
-    call.body = what.body;
+    call.url = "http://" + spec.address + completion.path;
+    call.headers = { { "Content-Type", "application/json" }, { std::string(AttemptHeader), completion.attemptId() },
+        { "X-Priority", std::string(PriorityNames[static_cast<std::size_t>(completion.work.priority)]) },
+        { "X-Deadline-Ms", std::to_string(timeLeft(completion.work.deadline, context.clock.now()).milliseconds()) } };
+    call.body = completion.body;
     call.connectTimeout = context.settings.duration("upstreams.connect_timeout_ms");
     call.inactivityTimeout = context.settings.duration("upstreams.silence_timeout_ms");
     call.maySend = [self = shared_from_this(), job] { return self->maySend(job); };
@@ -375,8 +375,8 @@
         }
         const RetryDecision decision = context.health.decide(failure, retryContext, EnginePool);
         const auto *again = std::get_if<TryAgain>(&decision);
-        if (again != nullptr && jobs.takeWaiting(job->what.work.id)) {
-            handle(WorkCancelled { job->what.work.id });
+        if (again != nullptr && jobs.takeWaiting(job->completion.work.id)) {
+            handle(WorkCancelled { job->completion.work.id });
             tryAgain(job, *again, "its adapter could not be loaded");
         }
     }
@@ -384,7 +384,7 @@
 
 bool EngineRunner::Private::maySend(const EngineJobPointer &job) const
 {
-    return !job->isCallerGone && context.clock.now() < job->what.work.deadline
+    return !job->isCallerGone && context.clock.now() < job->completion.work.deadline
         && (ownershipRunner == nullptr || ownershipRunner->mayDispatch());
 }
 
@@ -400,13 +400,13 @@
 void EngineRunner::Private::onDone(const EngineJobPointer &job, const CallResult &result)
 {
     const ReplyEnd end = job->reply.end(result);
-    jobs.take(job->what.work.id);
+    jobs.take(job->completion.work.id);
     recordOutcome(*job, end);
     // Must precede WorkFinished, which could otherwise dispatch more requests to an adapter that is not loaded.
     if (end.failure.isAdapterMissing) {
         onAdaptersLost(*job);
     }
-    handle(WorkFinished { job->what.work.id });
+    handle(WorkFinished { job->completion.work.id });
     if (end.isComplete) {
         job->reply.deliver();
         onServed(job);
@@ -486,15 +486,15 @@
 {
     RetryContext retryContext;
     retryContext.hasSentToCaller = job.reply.hasSentToCaller();
-    retryContext.attempts = job.what.attempts + 1;
-    retryContext.deadline = job.what.work.deadline;
-    retryContext.hasOtherUpstream = context.router.hasOther(job.what, spec.id);
+    retryContext.attempts = job.completion.attempts + 1;
+    retryContext.deadline = job.completion.work.deadline;
+    retryContext.hasOtherUpstream = context.router.hasOther(job.completion, spec.id);
     return retryContext;
 }
 
 void EngineRunner::Private::tryAgain(const EngineJobPointer &job, const TryAgain &retryPlan, const std::string &detail)
 {
-    CompletionJob next = job->what;
+    CompletionJob next = job->completion;
     ++next.attempts;
     log->info("[{}] upstream={} attempt={} failed, trying again. detail='{}'", next.requestId, spec.id.value(), next.attempts, detail);
     if (retryPlan.target == RetryTarget::OtherUpstream) {
@@ -509,30 +509,31 @@
 
 void EngineRunner::Private::onServed(const EngineJobPointer &job)
 {
-    const WorkItem &work = job->what.work;
+    const WorkItem &work = job->completion.work;
     const Time now = context.clock.now();
     const Time firstByteAt = job->reply.firstByteAt() == Time() ? now : job->reply.firstByteAt();
     context.metrics.completionServed(work.priority, job->dispatchedAt - work.arrival, firstByteAt - work.arrival, now - work.arrival);
-    log->info("[{}] caller={} adapter={} upstream={} outcome=ok status={} attempts={} ms={}", job->what.requestId, work.caller.value(),
-        work.adapter.name(), spec.id.value(), job->reply.status(), job->what.attempts + 1, (now - work.arrival).milliseconds());
+    log->info("[{}] caller={} adapter={} upstream={} outcome=ok status={} attempts={} ms={}", job->completion.requestId,
+        work.caller.value(), work.adapter.name(), spec.id.value(), job->reply.status(), job->completion.attempts + 1,
+        (now - work.arrival).milliseconds());
 }
 
 void EngineRunner::Private::fail(const EngineJobPointer &job, ErrorKind kind, const std::string &detail, Duration retryAfter)
 {
-    const WorkItem &work = job->what.work;
+    const WorkItem &work = job->completion.work;
     ErrorDetails details;
     details.detail = detail;
     details.retryAfter = retryAfter;
-    details.requestId = job->what.requestId;
+    details.requestId = job->completion.requestId;
     context.metrics.completionFailed(work.priority, kind);
-    log->info("[{}] caller={} adapter={} upstream={} outcome={} detail='{}' attempts={} ms={}", job->what.requestId, work.caller.value(),
-        work.adapter.name(), spec.id.value(), errorAnswer(kind).code, detail, job->what.attempts + 1,
+    log->info("[{}] caller={} adapter={} upstream={} outcome={} detail='{}' attempts={} ms={}", job->completion.requestId,
+        work.caller.value(), work.adapter.name(), spec.id.value(), errorAnswer(kind).code, detail, job->completion.attempts + 1,
         (context.clock.now() - work.arrival).milliseconds());
     if (job->reply.hasSentToCaller()) {
-        job->reply.abortStream(job->what.requestId, detail);
+        job->reply.abortStream(job->completion.requestId, detail);
         return;
     }
-    respondError(*job->what.exchange, kind, details);
+    respondError(*job->completion.exchange, kind, details);
 }
 
 void EngineRunner::Private::callerGone(RequestId id)
@@ -551,12 +552,12 @@
     fail(job, ErrorKind::CallerGone, {}, Duration());
 }
 
-void EngineRunner::Private::submit(CompletionJob what)
+void EngineRunner::Private::submit(CompletionJob completion)
 {
-    const auto job = std::make_shared<EngineJob>(std::move(what));
-    const WorkItem &work = job->what.work;
+    const auto job = std::make_shared<EngineJob>(std::move(completion));
+    const WorkItem &work = job->completion.work;
     jobs.add(job);
-    job->what.exchange->onCallerGone([weak = weak_from_this(), id = work.id] {
+    job->completion.exchange->onCallerGone([weak = weak_from_this(), id = work.id] {
         if (const auto self = weak.lock()) {
             self->callerGone(id);
         }
