--- a/main/enginerunner.cpp
+++ b/main/enginerunner.cpp
@@ -418,7 +418,7 @@
     afterFailure(job, end.failure, end.detail, Duration());
 }
 
-// A call that the caller abandoned counts neither for nor against the engine.
+// A failed call that the caller has abandoned does not count against the engine.
 void EngineRunner::Private::recordOutcome(const EngineJob &job, const ReplyEnd &end)
 {
     const bool isFault = !end.isComplete && isUpstreamFault(end.failure.kind) && !job.isCallerGone;
