--- a/main/catalogini.cpp
+++ b/main/catalogini.cpp
@@ -81,14 +81,14 @@
     }
     checkUpstreams();
     checkServices();
-    if (m_document.faults.empty()) {
+    if (m_document.errors.empty()) {
         const auto whole = Catalog::create(m_content);
         if (!whole.isOk()) {
-            m_document.addFault(m_document.lineCount, whole.error().detail);
+            m_document.addError(m_document.lineCount, whole.error().detail);
         }
     }
-    if (!m_document.faults.empty()) {
-        return Error { ErrorKind::ConfigInvalid, m_document.faults };
+    if (!m_document.errors.empty()) {
+        return Error { ErrorKind::ConfigInvalid, m_document.errors };
     }
     return std::move(m_content);
 }
@@ -100,7 +100,7 @@
         return;
     }
     if ((kind != UpstreamSection && kind != ServiceSection) || name.empty()) {
-        m_document.addFault(
+        m_document.addError(
             section.line, "unknown section '[" + section.name + "]'; use [adapters], [adapters BASE], [upstream ID] or [service NAME]");
         return;
     }
@@ -124,7 +124,7 @@
     }
     const auto [known, isNew] = m_keyLines.emplace(pair.section + '\n' + pair.key, pair.line);
     if (!isNew) {
-        m_document.addFault(pair.line,
+        m_document.addError(pair.line,
             "'" + pair.key + "' of [" + pair.section + "] stands in line " + std::to_string(known->second) + " already; remove one");
         return;
     }
@@ -137,7 +137,7 @@
         }
     } else if (kind == ServiceSection) {
         if (pair.key != "upstreams") {
-            m_document.addFault(pair.line, "unknown key '" + pair.key + "'; a service has 'upstreams' alone");
+            m_document.addError(pair.line, "unknown key '" + pair.key + "'; a service has 'upstreams' alone");
             return;
         }
         for (ServiceSpec &spec : m_content.services) {
@@ -149,7 +149,7 @@
             }
         }
     } else if (pair.section.empty()) {
-        m_document.addFault(pair.line, "'" + pair.key + "' stands before the first section; move it into one");
+        m_document.addError(pair.line, "'" + pair.key + "' stands before the first section; move it into one");
     }
 }
 
@@ -157,7 +157,7 @@
 {
     const std::size_t at = pair.key.find('@');
     if (at == std::string::npos) {
-        m_document.addFault(pair.line, "'" + pair.key + "' has no version; write it as id@version");
+        m_document.addError(pair.line, "'" + pair.key + "' has no version; write it as id@version");
         return;
     }
     AdapterSpec spec;
@@ -166,20 +166,20 @@
     for (const std::string &label : listOf(pair.value)) {
         const std::size_t split = label.find('=');
         if (split == std::string::npos) {
-            m_document.addFault(pair.line, "label '" + label + "' of '" + pair.key + "' has no value; write it as name=value");
+            m_document.addError(pair.line, "label '" + label + "' of '" + pair.key + "' has no value; write it as name=value");
             return;
         }
         spec.labels.push_back({ label.substr(0, split), label.substr(split + 1) });
     }
     std::sort(spec.labels.begin(), spec.labels.end());
-    const std::string fault = adapterSpecError(spec);
-    if (!fault.empty()) {
-        m_document.addFault(pair.line, fault);
+    const std::string specError = adapterSpecError(spec);
+    if (!specError.empty()) {
+        m_document.addError(pair.line, specError);
         return;
     }
     const auto [known, isNew] = m_adapterLines.emplace(spec.key, pair.line);
     if (!isNew) {
-        m_document.addFault(pair.line, "'" + pair.key + "' stands in line " + std::to_string(known->second) + " already; remove one");
+        m_document.addError(pair.line, "'" + pair.key + "' stands in line " + std::to_string(known->second) + " already; remove one");
         return;
     }
     m_content.adapters.push_back(std::move(spec));
@@ -200,12 +200,12 @@
     } else if (pair.key == "checks") {
         readChecks(spec, pair);
     } else if (pair.key != "kind") {
-        m_document.addFault(
+        m_document.addError(
             pair.line, "unknown key '" + pair.key + "'; an upstream has kind, address, zone, base_model, slots, batch and checks");
     } else if (pair.value == "engine" || pair.value == "service") {
         spec.kind = pair.value == "engine" ? UpstreamKind::Engine : UpstreamKind::Service;
     } else {
-        m_document.addFault(pair.line, "'kind' must be engine or service, not '" + pair.value + "'");
+        m_document.addError(pair.line, "'kind' must be engine or service, not '" + pair.value + "'");
     }
 }
 
@@ -217,7 +217,7 @@
         } else if (check == "keys") {
             spec.checksKeys = true;
         } else if (check != "none") {
-            m_document.addFault(pair.line, "'checks' must be none or a list of fencing and keys, not '" + check + "'");
+            m_document.addError(pair.line, "'checks' must be none or a list of fencing and keys, not '" + check + "'");
         }
     }
 }
@@ -225,7 +225,7 @@
 void CatalogReader::readNumber(int &number, const IniPair &pair)
 {
     if (!absl::SimpleAtoi(pair.value, &number)) {
-        m_document.addFault(pair.line, "'" + pair.key + "' must be a whole number, not '" + pair.value + "'");
+        m_document.addError(pair.line, "'" + pair.key + "' must be a whole number, not '" + pair.value + "'");
         number = 1;
     }
 }
@@ -237,13 +237,13 @@
         const UpstreamSpec &spec = m_content.upstreams[i];
         const auto [known, isNew] = lines.emplace(spec.id.value(), m_upstreamLines[i]);
         if (!isNew) {
-            m_document.addFault(m_upstreamLines[i],
+            m_document.addError(m_upstreamLines[i],
                 "[upstream " + spec.id.value() + "] stands in line " + std::to_string(known->second) + " already; remove one");
             continue;
         }
-        const std::string fault = upstreamSpecError(spec);
-        if (!fault.empty()) {
-            m_document.addFault(m_upstreamLines[i], fault);
+        const std::string specError = upstreamSpecError(spec);
+        if (!specError.empty()) {
+            m_document.addError(m_upstreamLines[i], specError);
         }
     }
 }
@@ -255,18 +255,18 @@
         const ServiceSpec &spec = m_content.services[i];
         const auto [known, isNew] = lines.emplace(spec.name.value(), m_serviceLines[i]);
         if (!isNew) {
-            m_document.addFault(m_serviceLines[i],
+            m_document.addError(m_serviceLines[i],
                 "[service " + spec.name.value() + "] stands in line " + std::to_string(known->second) + " already; remove one");
             continue;
         }
         if (spec.upstreams.empty()) {
-            m_document.addFault(m_serviceLines[i], "[service " + spec.name.value() + "] has no upstreams; add 'upstreams = ID, ID'");
+            m_document.addError(m_serviceLines[i], "[service " + spec.name.value() + "] has no upstreams; add 'upstreams = ID, ID'");
         }
         for (const UpstreamId &id : spec.upstreams) {
             const bool isKnown =
                 std::any_of(m_content.upstreams.begin(), m_content.upstreams.end(), [&](const auto &u) { return u.id == id; });
             if (!isKnown) {
-                m_document.addFault(m_serviceLines[i],
+                m_document.addError(m_serviceLines[i],
                     "[service " + spec.name.value() + "] names unknown upstream '" + id.value() + "'; add [upstream " + id.value() + "]");
             }
         }
--- a/main/checkcommand.cpp
+++ b/main/checkcommand.cpp
@@ -7,11 +7,11 @@
 namespace ApricotStep
 {
 
-int checkConfig(const std::string &path, std::ostream &out, std::ostream &faults)
+int checkConfig(const std::string &path, std::ostream &out, std::ostream &errors)
 {
     const auto content = loadCatalogIni(path);
     if (!content.isOk()) {
-        faults << content.error().detail;
+        errors << content.error().detail;
         return 2;
     }
     out << path << ": good. adapters=" << content.value().adapters.size() << " upstreams=" << content.value().upstreams.size()
--- a/main/inidocument.cpp
+++ b/main/inidocument.cpp
@@ -47,9 +47,9 @@
         return nullptr;
     }
     ++document.lineCount;
-    const std::string fault = reader.checkLine(line, static_cast<std::size_t>(size));
-    if (!fault.empty()) {
-        document.addFault(document.lineCount, fault);
+    const std::string lineError = reader.checkLine(line, static_cast<std::size_t>(size));
+    if (!lineError.empty()) {
+        document.addError(document.lineCount, lineError);
         line.clear();
     } else if (!line.empty() && line.front() == '[' && line.find(']') != std::string::npos) {
         document.sections.push_back({ line.substr(1, line.find(']') - 1), document.lineCount });
@@ -67,9 +67,9 @@
 
 } // namespace
 
-void IniDocument::addFault(int line, const std::string &what)
+void IniDocument::addError(int line, const std::string &what)
 {
-    faults += name + ":" + std::to_string(line) + ": " + what + "\n";
+    errors += name + ":" + std::to_string(line) + ": " + what + "\n";
 }
 
 IniDocument parseIni(const std::string &text, const std::string &name)
@@ -78,7 +78,7 @@
     reader.document.name = name;
     const int badLine = ini_parse_stream(readLine, &reader, onPair, &reader);
     if (badLine > 0) {
-        reader.document.addFault(badLine, "is neither '[section]' nor 'key = value'; correct or remove the line");
+        reader.document.addError(badLine, "is neither '[section]' nor 'key = value'; correct or remove the line");
     }
     return std::move(reader.document);
 }
--- a/main/inidocument.h
+++ b/main/inidocument.h
@@ -28,10 +28,10 @@
     std::vector<IniSection> sections;
     std::vector<IniPair> pairs;
     /** One line a fault: file, line and the fix. */
-    std::string faults;
+    std::string errors;
     int lineCount = 0;
 
-    void addFault(int line, const std::string &what);
+    void addError(int line, const std::string &what);
 };
 
 /** Reads @p text; @p name stands for the file in faults. */
--- a/main/operatorcommands.cpp
+++ b/main/operatorcommands.cpp
@@ -44,10 +44,10 @@
 }
 
 /** Asks a node and waits. The exit code, and with 0 the body; with others the fault was printed. */
-std::pair<int, std::string> ask(const std::string &node, const std::string &target, std::ostream &faults)
+std::pair<int, std::string> ask(const std::string &node, const std::string &target, std::ostream &errors)
 {
     if (!isHostPort(node)) {
-        faults << "--node '" << node << "' is not host:port; give for example 127.0.0.1:9090\n";
+        errors << "--node '" << node << "' is not host:port; give for example 127.0.0.1:9090\n";
         return { UsageExit, {} };
     }
     std::string body;
@@ -68,11 +68,11 @@
     client.start(std::move(call));
     done.WaitForNotification();
     if (result.state != AttemptState::Answered) {
-        faults << "node " << node << " did not answer: " << result.detail << "\n";
+        errors << "node " << node << " did not answer: " << result.detail << "\n";
         return { FailedExit, {} };
     }
     if (result.status != 200) {
-        faults << "node " << node << " answered " << result.status << ": " << body << "\n";
+        errors << "node " << node << " answered " << result.status << ": " << body << "\n";
         return { FailedExit, {} };
     }
     return { 0, body };
@@ -105,19 +105,19 @@
 
 } // namespace
 
-int showBurn(const OperatorQuery &query, std::ostream &out, std::ostream &faults)
+int showBurn(const OperatorQuery &query, std::ostream &out, std::ostream &errors)
 {
     if (query.isJson && !query.htmlFile.empty()) {
-        faults << "--json and --html exclude each other; give one\n";
+        errors << "--json and --html exclude each other; give one\n";
         return UsageExit;
     }
-    const auto [code, body] = ask(query.node, query.isOfAll ? "/slo?all=1" : "/slo", faults);
+    const auto [code, body] = ask(query.node, query.isOfAll ? "/slo?all=1" : "/slo", errors);
     if (code != 0) {
         return code;
     }
     const auto report = parseBurnJson(body);
     if (!report.isOk()) {
-        faults << "node " << query.node << ": " << report.error().detail << "\n";
+        errors << "node " << query.node << ": " << report.error().detail << "\n";
         return FailedExit;
     }
     if (query.htmlFile.empty()) {
@@ -128,15 +128,15 @@
     page << burnHtml(report.value());
     page.close();
     if (!page) {
-        faults << query.htmlFile << " cannot be written; give a file in a directory that exists\n";
+        errors << query.htmlFile << " cannot be written; give a file in a directory that exists\n";
         return FailedExit;
     }
     return 0;
 }
 
-int showStatus(const OperatorQuery &query, std::ostream &out, std::ostream &faults)
+int showStatus(const OperatorQuery &query, std::ostream &out, std::ostream &errors)
 {
-    const auto [code, body] = ask(query.node, query.isOfAll ? "/status?all=1" : "/status", faults);
+    const auto [code, body] = ask(query.node, query.isOfAll ? "/status?all=1" : "/status", errors);
     if (code != 0) {
         return code;
     }
@@ -158,14 +158,14 @@
         }
         return 0;
     } catch (const Json::exception &exception) {
-        faults << "node " << query.node << " gave no status: " << exception.what() << "\n";
+        errors << "node " << query.node << " gave no status: " << exception.what() << "\n";
         return FailedExit;
     }
 }
 
-int showAddress(const std::string &callerPort, const std::string &selector, bool isJson, std::ostream &out, std::ostream &faults)
+int showAddress(const std::string &callerPort, const std::string &selector, bool isJson, std::ostream &out, std::ostream &errors)
 {
-    const auto [code, body] = ask(callerPort, "/v1/address?explain=1&model=" + encoded(selector), faults);
+    const auto [code, body] = ask(callerPort, "/v1/address?explain=1&model=" + encoded(selector), errors);
     if (code != 0) {
         return code;
     }
@@ -186,7 +186,7 @@
         }
         return 0;
     } catch (const Json::exception &exception) {
-        faults << "node " << callerPort << " gave no address: " << exception.what() << "\n";
+        errors << "node " << callerPort << " gave no address: " << exception.what() << "\n";
         return FailedExit;
     }
 }
--- a/main/operatorcommands.h
+++ b/main/operatorcommands.h
@@ -18,10 +18,10 @@
 };
 
 /** Shows service-level burn. Returns the exit code: 0, 1 when the node cannot be asked or the file not written, 2 for bad options. */
-int showBurn(const OperatorQuery &query, std::ostream &out, std::ostream &faults);
+int showBurn(const OperatorQuery &query, std::ostream &out, std::ostream &errors);
 /** Shows nodes, engines and the configuration in force. Returns as showBurn(). */
-int showStatus(const OperatorQuery &query, std::ostream &out, std::ostream &faults);
+int showStatus(const OperatorQuery &query, std::ostream &out, std::ostream &errors);
 /** Shows what a caller of the node at @p callerPort (host:port) would be told about @p selector. Returns as showBurn(). */
-int showAddress(const std::string &callerPort, const std::string &selector, bool isJson, std::ostream &out, std::ostream &faults);
+int showAddress(const std::string &callerPort, const std::string &selector, bool isJson, std::ostream &out, std::ostream &errors);
 
 } // namespace ApricotStep
--- a/main/packcommand.cpp
+++ b/main/packcommand.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-constexpr int FaultExit = 2;
+constexpr int ErrorExit = 2;
 // A starting node fetches the changes after the base one by one; this many take it well under a second at some milliseconds each.
 constexpr std::size_t MaxChangesAfterBase = 64;
 constexpr std::int64_t SecondMs = 1000;
@@ -149,28 +149,28 @@
 
 } // namespace
 
-int packConfig(const PackOptions &options, Time wallTime, std::ostream &out, std::ostream &faults)
+int packConfig(const PackOptions &options, Time wallTime, std::ostream &out, std::ostream &errors)
 {
     auto content = loadCatalogIni(options.in);
     if (!content.isOk()) {
-        faults << content.error().detail;
-        return FaultExit;
+        errors << content.error().detail;
+        return ErrorExit;
     }
     if (!options.previous.empty() && !ValueDirectory(options.previous).hasHead()) {
-        faults << options.previous << ":0: has no head value; give the directory of the last publication, or leave --previous out\n";
-        return FaultExit;
+        errors << options.previous << ":0: has no head value; give the directory of the last publication, or leave --previous out\n";
+        return ErrorExit;
     }
     if (options.previous.empty() && ValueDirectory(options.out).hasHead()) {
         // A first publication over an older one would cut the history off, and each node would fetch the whole catalog again.
-        faults << options.out << ":0: holds a publication already; add --previous " << options.out << "\n";
-        return FaultExit;
+        errors << options.out << ":0: holds a publication already; add --previous " << options.out << "\n";
+        return ErrorExit;
     }
     Packer packer(options, out);
     const auto packed =
         options.previous.empty() ? packer.packFirst(std::move(content.value()), wallTime) : packer.packNext(std::move(content.value()));
     if (!packed.isOk()) {
-        faults << options.in << ":0: " << packed.error().detail << "\n";
-        return FaultExit;
+        errors << options.in << ":0: " << packed.error().detail << "\n";
+        return ErrorExit;
     }
     return 0;
 }
--- a/main/packcommand.h
+++ b/main/packcommand.h
@@ -22,6 +22,6 @@
  * `apricotstep pack`: makes the values that the platform publishes. The version is one above the previous one; a first publication takes
  * the seconds of @p wallTime, so that it lies above all that were lost. Returns the exit status, 0 or 2.
  */
-int packConfig(const PackOptions &options, Time wallTime, std::ostream &out, std::ostream &faults);
+int packConfig(const PackOptions &options, Time wallTime, std::ostream &out, std::ostream &errors);
 
 } // namespace ApricotStep
--- a/main/settings.cpp
+++ b/main/settings.cpp
@@ -42,10 +42,10 @@
     for (const IniPair &pair : std::vector<IniPair>(document.pairs)) {
         const std::string name = pair.section + '.' + pair.key;
         if (specOf(name) == nullptr) {
-            document.addFault(
+            document.addError(
                 pair.line, "unknown setting '" + pair.key + "' in [" + pair.section + "]; see 'apricotstep node --help' for all of them");
         } else if (!rows.emplace(name, pair).second) {
-            document.addFault(pair.line, "'" + pair.key + "' in [" + pair.section + "] is set twice; remove one");
+            document.addError(pair.line, "'" + pair.key + "' in [" + pair.section + "] is set twice; remove one");
         }
     }
     return rows;
@@ -136,20 +136,20 @@
         const auto row = rows.find(full);
         if (row == rows.end()) {
             if (spec.isRequired) {
-                document.addFault(
+                document.addError(
                     document.lineCount, "'" + std::string(spec.key) + "' is missing; add it to [" + std::string(spec.section) + "]");
             }
             settings->d->values[full] = std::string(spec.defaultValue);
             continue;
         }
-        const std::string wrong = checkValue(spec, row->second.value);
-        if (!wrong.empty()) {
-            document.addFault(row->second.line, wrong);
+        const std::string valueError = checkValue(spec, row->second.value);
+        if (!valueError.empty()) {
+            document.addError(row->second.line, valueError);
         }
         settings->d->values[full] = row->second.value;
     }
-    if (!document.faults.empty()) {
-        return Error { ErrorKind::SettingsInvalid, document.faults };
+    if (!document.errors.empty()) {
+        return Error { ErrorKind::SettingsInvalid, document.errors };
     }
     return std::shared_ptr<const Settings>(std::move(settings));
 }
--- a/tests/main/testoperators.cpp
+++ b/tests/main/testoperators.cpp
@@ -74,8 +74,8 @@
     Json answer;
     for (int i = 0; i < 200; ++i) {
         std::ostringstream out;
-        std::ostringstream faults;
-        if (show(query, out, faults) == 0) {
+        std::ostringstream errors;
+        if (show(query, out, errors) == 0) {
             answer = Json::parse(out.str());
             if (isWanted(answer)) {
                 return answer;
@@ -145,16 +145,16 @@
 Test(operators, commandsTellWhatIsWrong)
 {
     std::ostringstream out;
-    std::ostringstream faults;
-    cr_assert_eq(showBurn({ "nowhere", false, false, {} }, out, faults), 2);
-    cr_assert(faults.str().find("host:port") != std::string::npos);
-    cr_assert_eq(showBurn({ "127.0.0.1:1", false, true, "x.html" }, out, faults), 2);
-    cr_assert_eq(showStatus({ "127.0.0.1:1", true, false, {} }, out, faults), 1);
-    cr_assert(faults.str().find("127.0.0.1:1 did not answer") != std::string::npos);
+    std::ostringstream errors;
+    cr_assert_eq(showBurn({ "nowhere", false, false, {} }, out, errors), 2);
+    cr_assert(errors.str().find("host:port") != std::string::npos);
+    cr_assert_eq(showBurn({ "127.0.0.1:1", false, true, "x.html" }, out, errors), 2);
+    cr_assert_eq(showStatus({ "127.0.0.1:1", true, false, {} }, out, errors), 1);
+    cr_assert(errors.str().find("127.0.0.1:1 did not answer") != std::string::npos);
     const Fixtures::Upstream other(
         [](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) { exchange->respond(200, {}, "[]"); });
-    cr_assert_eq(showBurn({ other.address(), false, false, {} }, out, faults), 1, "something else listens there");
-    cr_assert_eq(showStatus({ other.address(), false, false, {} }, out, faults), 1);
-    cr_assert_eq(showAddress(other.address(), "kitchen", false, out, faults), 1);
+    cr_assert_eq(showBurn({ other.address(), false, false, {} }, out, errors), 1, "something else listens there");
+    cr_assert_eq(showStatus({ other.address(), false, false, {} }, out, errors), 1);
+    cr_assert_eq(showAddress(other.address(), "kitchen", false, out, errors), 1);
     cr_assert(out.str().empty());
 }
--- a/tests/main/testpack.cpp
+++ b/tests/main/testpack.cpp
@@ -46,7 +46,7 @@
     std::ofstream(path) << text;
 }
 
-bool faultSays(const std::string &text, const std::string &part)
+bool hasError(const std::string &text, const std::string &part)
 {
     const auto content = parseCatalogIni(text, "c.ini");
     return !content.isOk() && content.error().detail.find(part) != std::string::npos;
@@ -68,24 +68,24 @@
     cr_assert(content.value().upstreams[1].kind == UpstreamKind::Service);
 }
 
-Test(catalogini, eachFaultNamesFileLineAndFix)
+Test(catalogini, errorsNameFileLineAndFix)
 {
-    cr_assert(faultSays("[adapters]\nlessons = track=x\n", "c.ini:2: 'lessons' has no version; write it as id@version"));
-    cr_assert(faultSays("[adapters]\na@1 = stable\n", "c.ini:2: label 'stable' of 'a@1' has no value; write it as name=value"));
-    cr_assert(faultSays("[adapters]\na@1 =\na@1 =\n", "c.ini:3: 'a@1' stands in line 2 already; remove one"));
-    cr_assert(faultSays("[upstream e1]\nslots = many\n", "c.ini:2: 'slots' must be a whole number, not 'many'"));
-    cr_assert(faultSays("[upstream e1]\naddress = nowhere\n", "c.ini:1: upstream 'e1': address 'nowhere' is not host:port"));
-    cr_assert(faultSays("[upstream e1]\n", "c.ini:1: upstream 'e1': address '' is not host:port"));
-    cr_assert(faultSays("[upstraem e1]\n", "c.ini:1: unknown section '[upstraem e1]'"));
-    cr_assert(faultSays("[service s]\nupstreams = x\n", "c.ini:1: [service s] names unknown upstream 'x'; add [upstream x]"));
-    cr_assert(faultSays("[adapters]\n" + std::string(60, 'a') + "@1 = track=x\n", "c.ini:2: a name is longer than 49 characters"));
-    cr_assert(faultSays("nonsense\n", "c.ini:1: is neither"));
+    cr_assert(hasError("[adapters]\nlessons = track=x\n", "c.ini:2: 'lessons' has no version; write it as id@version"));
+    cr_assert(hasError("[adapters]\na@1 = stable\n", "c.ini:2: label 'stable' of 'a@1' has no value; write it as name=value"));
+    cr_assert(hasError("[adapters]\na@1 =\na@1 =\n", "c.ini:3: 'a@1' stands in line 2 already; remove one"));
+    cr_assert(hasError("[upstream e1]\nslots = many\n", "c.ini:2: 'slots' must be a whole number, not 'many'"));
+    cr_assert(hasError("[upstream e1]\naddress = nowhere\n", "c.ini:1: upstream 'e1': address 'nowhere' is not host:port"));
+    cr_assert(hasError("[upstream e1]\n", "c.ini:1: upstream 'e1': address '' is not host:port"));
+    cr_assert(hasError("[upstraem e1]\n", "c.ini:1: unknown section '[upstraem e1]'"));
+    cr_assert(hasError("[service s]\nupstreams = x\n", "c.ini:1: [service s] names unknown upstream 'x'; add [upstream x]"));
+    cr_assert(hasError("[adapters]\n" + std::string(60, 'a') + "@1 = track=x\n", "c.ini:2: a name is longer than 49 characters"));
+    cr_assert(hasError("nonsense\n", "c.ini:1: is neither"));
 }
 
-Test(catalogini, allFaultsComeAtOnce)
+Test(catalogini, allErrorsAreReportedTogether)
 {
-    cr_assert(faultSays("[adapters]\na = x\n[upstream e1]\nslots = many\n", "c.ini:2:"));
-    cr_assert(faultSays("[adapters]\na = x\n[upstream e1]\nslots = many\n", "c.ini:4:"));
+    cr_assert(hasError("[adapters]\na = x\n[upstream e1]\nslots = many\n", "c.ini:2:"));
+    cr_assert(hasError("[adapters]\na = x\n[upstream e1]\nslots = many\n", "c.ini:4:"));
 }
 
 Test(checkconfig, saysWhatItHoldsOrWhatIsWrong)
@@ -93,11 +93,11 @@
     const Folder folder;
     write(folder / "c.ini", Good);
     std::ostringstream out;
-    std::ostringstream faults;
-    cr_assert_eq(checkConfig(folder / "c.ini", out, faults), 0);
+    std::ostringstream errors;
+    cr_assert_eq(checkConfig(folder / "c.ini", out, errors), 0);
     cr_assert(out.str().find("good. adapters=2 upstreams=2 services=1") != std::string::npos);
-    cr_assert_eq(checkConfig(folder / "missing.ini", out, faults), 2);
-    cr_assert(faults.str().find("missing.ini:0: cannot be read") != std::string::npos);
+    cr_assert_eq(checkConfig(folder / "missing.ini", out, errors), 2);
+    cr_assert(errors.str().find("missing.ini:0: cannot be read") != std::string::npos);
 }
 
 Test(pack, aChangeIsPublishedAsASmallDeltaWithTheNextVersion)
@@ -105,11 +105,11 @@
     const Folder folder;
     write(folder / "c.ini", Good);
     std::ostringstream out;
-    std::ostringstream faults;
-    cr_assert_eq(packConfig({ folder / "c.ini", folder / "v", "" }, Time(7'000'000), out, faults), 0);
+    std::ostringstream errors;
+    cr_assert_eq(packConfig({ folder / "c.ini", folder / "v", "" }, Time(7'000'000), out, errors), 0);
     cr_assert_eq(headOf(folder / "v").version.value(), 7000);
     write(folder / "c.ini", Good + "[adapters]\nkitchen@2 = track=canary\n");
-    cr_assert_eq(packConfig({ folder / "c.ini", folder / "v", folder / "v" }, Time(1), out, faults), 0);
+    cr_assert_eq(packConfig({ folder / "c.ini", folder / "v", folder / "v" }, Time(1), out, errors), 0);
     const ConfigHead head = headOf(folder / "v");
     cr_assert_eq(head.version.value(), 7001);
     cr_assert_eq(head.baseVersion.value(), 7000);
@@ -117,7 +117,7 @@
     const auto catalog = ValueDirectory(folder / "v").catalog().value();
     cr_assert(catalog->resolve("track=canary").value().name() == "kitchen@2");
     // Nothing changed: no new version.
-    cr_assert_eq(packConfig({ folder / "c.ini", folder / "v", folder / "v" }, Time(1), out, faults), 0);
+    cr_assert_eq(packConfig({ folder / "c.ini", folder / "v", folder / "v" }, Time(1), out, errors), 0);
     cr_assert_eq(headOf(folder / "v").version.value(), 7001);
 }
 
@@ -125,14 +125,14 @@
 {
     const Folder folder;
     std::ostringstream out;
-    std::ostringstream faults;
+    std::ostringstream errors;
     std::string text = Good;
     write(folder / "c.ini", text);
-    cr_assert_eq(packConfig({ folder / "c.ini", folder / "v", "" }, Time(1000), out, faults), 0);
+    cr_assert_eq(packConfig({ folder / "c.ini", folder / "v", "" }, Time(1000), out, errors), 0);
     for (int i = 0; i < 65; ++i) {
         text += "[adapters]\nmore" + std::to_string(i) + "@1 = track=x\n";
         write(folder / "c.ini", text);
-        cr_assert_eq(packConfig({ folder / "c.ini", folder / "v", folder / "v" }, Time(1), out, faults), 0);
+        cr_assert_eq(packConfig({ folder / "c.ini", folder / "v", folder / "v" }, Time(1), out, errors), 0);
     }
     const ConfigHead head = headOf(folder / "v");
     cr_assert_eq(head.baseVersion.value(), 66);
@@ -148,10 +148,10 @@
     const Folder folder;
     write(folder / "c.ini", "[service s]\nupstreams = x\n");
     std::ostringstream out;
-    std::ostringstream faults;
-    cr_assert_eq(packConfig({ folder / "c.ini", folder / "v", "" }, Time(1), out, faults), 2);
+    std::ostringstream errors;
+    cr_assert_eq(packConfig({ folder / "c.ini", folder / "v", "" }, Time(1), out, errors), 2);
     cr_assert_not(ValueDirectory(folder / "v").hasHead());
     write(folder / "c.ini", Good);
-    cr_assert_eq(packConfig({ folder / "c.ini", folder / "v", folder / "v" }, Time(1), out, faults), 2);
-    cr_assert(faults.str().find("has no head value") != std::string::npos);
+    cr_assert_eq(packConfig({ folder / "c.ini", folder / "v", folder / "v" }, Time(1), out, errors), 2);
+    cr_assert(errors.str().find("has no head value") != std::string::npos);
 }
--- a/tests/main/testsettings.cpp
+++ b/tests/main/testsettings.cpp
@@ -10,7 +10,7 @@
 const std::string Good = "[node]\nid = n1\nzone = a\n[platform]\nconfig_url = http://127.0.0.1:1\nvm_list_url = http://127.0.0.1:2\n"
                          "[fleet]\nsecret = 0123456789abcdef\n";
 
-bool faultSays(const std::string &text, const std::string &part)
+bool hasError(const std::string &text, const std::string &part)
 {
     const auto settings = Settings::parse(text, "n.ini");
     return !settings.isOk() && settings.error().detail.find(part) != std::string::npos;
@@ -26,10 +26,10 @@
     cr_assert_eq(settings.value()->number("callers.port"), 8080);
 }
 
-Test(settings, eachFaultNamesFileLineAndFix)
+Test(settings, errorsNameFileLineAndFix)
 {
-    cr_assert(faultSays(Good + "[callers]\nprot = 1\n", "n.ini:10: unknown setting 'prot'"));
-    cr_assert(faultSays(Good + "[callers]\nport = 70000\n", "n.ini:10: 'port' must be a whole number from 0 to 65535"));
-    cr_assert(faultSays("[node]\nid = n1\n", "'zone' is missing; add it to [node]"));
-    cr_assert(faultSays(Good + "nonsense\n", "n.ini:9: is neither"));
+    cr_assert(hasError(Good + "[callers]\nprot = 1\n", "n.ini:10: unknown setting 'prot'"));
+    cr_assert(hasError(Good + "[callers]\nport = 70000\n", "n.ini:10: 'port' must be a whole number from 0 to 65535"));
+    cr_assert(hasError("[node]\nid = n1\n", "'zone' is missing; add it to [node]"));
+    cr_assert(hasError(Good + "nonsense\n", "n.ini:9: is neither"));
 }
