--- a/main/burnreport.cpp
+++ b/main/burnreport.cpp
@@ -20,7 +20,7 @@
 constexpr double PageBurn = 14.4;
 constexpr double TicketBurn = 6;
 
-std::string_view alertWord(BurnAlert alert)
+std::string_view alertName(BurnAlert alert)
 {
     switch (alert) {
     case BurnAlert::None:
@@ -33,7 +33,7 @@
     return "";
 }
 
-std::string joined(const std::vector<std::string> &names)
+std::string joinNames(const std::vector<std::string> &names)
 {
     std::string all;
     for (const std::string &name : names) {
@@ -42,7 +42,7 @@
     return all.empty() ? "none" : all;
 }
 
-std::string escaped(const std::string &text)
+std::string escapeHtml(const std::string &text)
 {
     std::string safe;
     for (const char c : text) {
@@ -61,10 +61,10 @@
     return { { "target", burnClass.objective.target }, { "limit_ms", burnClass.objective.limit.milliseconds() }, { "good", all.good },
         { "bad", all.bad }, { "burn_5m", burnClass.burn(FiveMinutes) }, { "burn_30m", burnClass.burn(HalfHour) },
         { "burn_1h", burnClass.burn(OneHour) }, { "burn_6h", burnClass.burn(SixHours) }, { "budget_left", burnClass.budgetLeft() },
-        { "alert", alertWord(alertOf(burnClass)) }, { "minutes", minutes } };
+        { "alert", alertName(alertOf(burnClass)) }, { "minutes", minutes } };
 }
 
-BurnClass classFrom(const Json &json)
+BurnClass parseClass(const Json &json)
 {
     BurnClass burnClass;
     burnClass.objective = { json.at("target").get<double>(), Duration(json.at("limit_ms").get<std::int64_t>()) };
@@ -79,23 +79,23 @@
 {
     constexpr double Width = 720;
     constexpr double Height = 120;
-    double highest = 1;
+    double maxRate = 1;
     for (const EventCounts &counts : burnClass.minutes) {
-        highest = std::max(highest, burnRate(counts, burnClass.objective));
+        maxRate = std::max(maxRate, burnRate(counts, burnClass.objective));
     }
     std::string points;
     const double step = Width / static_cast<double>(std::max<std::size_t>(burnClass.minutes.size(), 2) - 1);
     for (std::size_t i = 0; i < burnClass.minutes.size(); ++i) {
         const double rate = burnRate(burnClass.minutes[i], burnClass.objective);
-        points += fmt::format("{:.1f},{:.1f} ", static_cast<double>(i) * step, Height - rate / highest * Height);
+        points += fmt::format("{:.1f},{:.1f} ", static_cast<double>(i) * step, Height - rate / maxRate * Height);
     }
-    const double dueLine = Height - Height / highest;
+    const double unitRateY = Height - Height / maxRate;
     return fmt::format(
         "<svg viewBox=\"-2 -2 {0} {1}\" width=\"100%\" role=\"img\" aria-label=\"burn rate by minute\"><rect width=\"{2}\" height=\"{3}\" "
         "fill=\"#f6f6f6\"/><line x1=\"0\" x2=\"{2}\" y1=\"{4:.1f}\" y2=\"{4:.1f}\" stroke=\"#999\" stroke-dasharray=\"4\"/>"
         "<polyline points=\"{5}\" fill=\"none\" stroke=\"#b03030\" stroke-width=\"1.5\"/>"
         "<text x=\"4\" y=\"12\" font-size=\"11\">highest {6:.2f}; dashed: 1</text></svg>",
-        Width + 4, Height + 4, Width, Height, dueLine, points, highest);
+        Width + 4, Height + 4, Width, Height, unitRateY, points, maxRate);
 }
 
 } // namespace
@@ -135,7 +135,7 @@
 {
     if (deployment != other.deployment) {
         return Error { ErrorKind::BadRequest,
-            "node " + joined(other.nodes) + " is of deployment '" + other.deployment + "', not '" + deployment + "'" };
+            "node " + joinNames(other.nodes) + " is of deployment '" + other.deployment + "', not '" + deployment + "'" };
     }
     for (std::size_t i = 0; i < classes.size(); ++i) {
         BurnClass &mine = classes[i];
@@ -143,7 +143,7 @@
         if (mine.objective.target != theirs.objective.target || mine.objective.limit != theirs.objective.limit
             || mine.minutes.size() != theirs.minutes.size()) {
             return Error { ErrorKind::BadRequest,
-                "node " + joined(other.nodes) + " has other objectives; set [objectives] alike on all nodes" };
+                "node " + joinNames(other.nodes) + " has other objectives; set [objectives] alike on all nodes" };
         }
     }
     for (std::size_t i = 0; i < classes.size(); ++i) {
@@ -189,7 +189,7 @@
         report.nodes = json.at("nodes").get<std::vector<std::string>>();
         report.missing = json.at("missing").get<std::vector<std::string>>();
         for (std::size_t i = 0; i < ServiceClassCount; ++i) {
-            report.classes[i] = classFrom(json.at("classes").at(std::string(ServiceClassNames[i])));
+            report.classes[i] = parseClass(json.at("classes").at(std::string(ServiceClassNames[i])));
         }
         return report;
     } catch (const Json::exception &exception) {
@@ -200,7 +200,7 @@
 std::string burnText(const BurnReport &report)
 {
     std::string text =
-        fmt::format("deployment {}  nodes {}  missing {}\n", report.deployment, joined(report.nodes), joined(report.missing));
+        fmt::format("deployment {}  nodes {}  missing {}\n", report.deployment, joinNames(report.nodes), joinNames(report.missing));
     text += fmt::format("{:<9} {:>8} {:>9} {:>10} {:>8} {:>8} {:>8} {:>8} {:>8} {:>12} {}\n", "class", "target", "limit ms", "events 6h",
         "bad 6h", "burn 5m", "30m", "1h", "6h", "budget left", "alert");
     for (std::size_t i = 0; i < ServiceClassCount; ++i) {
@@ -209,7 +209,7 @@
         text += fmt::format("{:<9} {:>8.4f} {:>9} {:>10} {:>8} {:>8.2f} {:>8.2f} {:>8.2f} {:>8.2f} {:>11.1f}% {}\n", ServiceClassNames[i],
             burnClass.objective.target, burnClass.objective.limit.milliseconds(), all.total(), all.bad, burnClass.burn(FiveMinutes),
             burnClass.burn(HalfHour), burnClass.burn(OneHour), burnClass.burn(SixHours), burnClass.budgetLeft() * 100,
-            alertWord(alertOf(burnClass)));
+            alertName(alertOf(burnClass)));
     }
     return text;
 }
@@ -220,11 +220,11 @@
                        "body{font:15px sans-serif;max-width:800px;margin:2em auto;padding:0 1em}table{border-collapse:collapse}"
                        "td,th{border:1px solid #ccc;padding:.3em .6em;text-align:right}.page{background:#f4b6b6}.ticket{background:#f7e3a1}"
                        "</style></head><body><h1>Service-level burn</h1>";
-    page += "<p>Deployment " + escaped(report.deployment) + ". Nodes: " + escaped(joined(report.nodes))
-        + ". Missing: " + escaped(joined(report.missing)) + ".</p>";
+    page += "<p>Deployment " + escapeHtml(report.deployment) + ". Nodes: " + escapeHtml(joinNames(report.nodes))
+        + ". Missing: " + escapeHtml(joinNames(report.missing)) + ".</p>";
     for (std::size_t i = 0; i < ServiceClassCount; ++i) {
         const BurnClass &burnClass = report.classes[i];
-        const std::string_view alert = alertWord(alertOf(burnClass));
+        const std::string_view alert = alertName(alertOf(burnClass));
         const EventCounts all = burnClass.window(SixHours);
         page += fmt::format(
             "<h2>{}</h2><table><tr><th>target</th><th>limit ms</th><th>events 6 h</th><th>bad</th><th>5 min</th><th>30 min</th>"
--- a/main/main.cpp
+++ b/main/main.cpp
@@ -82,12 +82,12 @@
     OperatorQuery query;
     auto *burn = app.add_subcommand("burn", "Show how fast the error budgets go, by class.");
     burn->add_option("--node", query.node, "host:port of a node's operator port.")->required();
-    burn->add_flag("--all", query.isOfAll, "Over all nodes, asked by that one.");
+    burn->add_flag("--all", query.isForAllNodes, "Over all nodes, asked by that one.");
     burn->add_flag("--json", query.isJson, "Print JSON.");
     burn->add_option("--html", query.htmlFile, "Write a page with plots to this file.");
     auto *status = app.add_subcommand("status", "Show nodes, engines and the configuration in force.");
     status->add_option("--node", query.node, "host:port of a node's operator port.")->required();
-    status->add_flag("--all", query.isOfAll, "Of all nodes, asked by that one.");
+    status->add_flag("--all", query.isForAllNodes, "Of all nodes, asked by that one.");
     status->add_flag("--json", query.isJson, "Print JSON.");
     std::string selector;
     auto *address = app.add_subcommand("address", "Show what a caller would be told about a model.");
--- a/main/metrics.cpp
+++ b/main/metrics.cpp
@@ -15,7 +15,7 @@
 const prometheus::Histogram::BucketBoundaries SecondsBuckets { 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.75, 1, 2.5, 5, 10, 30, 60, 300,
     1800 };
 
-constexpr int FirstServerError = 500;
+constexpr int MinServerErrorStatus = 500;
 
 static_assert(static_cast<std::size_t>(ServiceClass::Service) == PriorityCount, "the classes of completions come first, in their order");
 
@@ -24,7 +24,7 @@
     return static_cast<ServiceClass>(priority);
 }
 
-std::string wordOf(Priority priority)
+std::string priorityName(Priority priority)
 {
     return std::string(PriorityNames[static_cast<std::size_t>(priority)]);
 }
@@ -103,32 +103,32 @@
 
 Metrics::~Metrics() = default;
 
-void Metrics::feed(ServiceLevels &levels, const Clock &clock)
+void Metrics::setServiceLevels(ServiceLevels &levels, const Clock &clock)
 {
     d->levels = &levels;
     d->clock = &clock;
 }
 
-void Metrics::completionServed(Priority priority, Duration stall, Duration firstToken, Duration whole)
+void Metrics::completionServed(Priority priority, Duration stall, Duration firstToken, Duration total)
 {
-    const std::string word = wordOf(priority);
-    d->completions.Add({ { "class", word }, { "outcome", "ok" } }).Increment();
-    d->stalls.Add({ { "class", word } }, SecondsBuckets).Observe(stall.toSeconds());
-    d->firstTokens.Add({ { "class", word } }, SecondsBuckets).Observe(firstToken.toSeconds());
-    d->durations.Add({ { "class", word } }, SecondsBuckets).Observe(whole.toSeconds());
+    const std::string className = priorityName(priority);
+    d->completions.Add({ { "class", className }, { "outcome", "ok" } }).Increment();
+    d->stalls.Add({ { "class", className } }, SecondsBuckets).Observe(stall.toSeconds());
+    d->firstTokens.Add({ { "class", className } }, SecondsBuckets).Observe(firstToken.toSeconds());
+    d->durations.Add({ { "class", className } }, SecondsBuckets).Observe(total.toSeconds());
     d->recordAnswer(classOf(priority), firstToken);
 }
 
 void Metrics::completionFailed(Priority priority, ErrorKind kind)
 {
-    d->completions.Add({ { "class", wordOf(priority) }, { "outcome", std::string(errorAnswer(kind).code) } }).Increment();
+    d->completions.Add({ { "class", priorityName(priority) }, { "outcome", std::string(errorAnswer(kind).code) } }).Increment();
     d->recordFailure(classOf(priority), kind);
 }
 
 void Metrics::serviceCall(const std::string &service, int status, Duration took)
 {
     d->serviceCalls.Add({ { "service", service }, { "status", std::to_string(status) } }).Increment();
-    if (status >= FirstServerError) {
+    if (status >= MinServerErrorStatus) {
         d->recordFailure(ServiceClass::Service, ErrorKind::UpstreamFailed);
     } else {
         d->recordAnswer(ServiceClass::Service, took);
--- a/main/metrics.h
+++ b/main/metrics.h
@@ -18,10 +18,10 @@
     ~Metrics();
 
     /** Also counts the ends below in @p levels, which must outlive this. Before other threads use this. */
-    void feed(ServiceLevels &levels, const Clock &clock);
+    void setServiceLevels(ServiceLevels &levels, const Clock &clock);
 
-    /** A completion ended well. Times from its arrival: @p stall of waiting for its adapter, @p firstToken, @p whole. */
-    void completionServed(Priority priority, Duration stall, Duration firstToken, Duration whole);
+    /** A completion ended well. Times from its arrival: @p stall of waiting for its adapter, @p firstToken, @p total. */
+    void completionServed(Priority priority, Duration stall, Duration firstToken, Duration total);
     void completionFailed(Priority priority, ErrorKind kind);
     /** A plain service answered with @p status, @p took after the call's arrival. A 5xx is bad; a 4xx is the caller's own mistake. */
     void serviceCall(const std::string &service, int status, Duration took);
--- a/main/node.cpp
+++ b/main/node.cpp
@@ -67,7 +67,7 @@
         , config(*settings, *client, clock, metrics, catalog, fleet)
         , platform(*settings, *client, clock, [this](VmList list) { vmListRead(std::move(list)); })
     {
-        metrics.feed(levels, clock);
+        metrics.setServiceLevels(levels, clock);
         permits.onAnswer([this](const UpstreamId &upstream, const SchedulerEvent &event) { frontend.onPermitEvent(upstream, event); });
     }
 
--- a/main/operatorcommands.cpp
+++ b/main/operatorcommands.cpp
@@ -22,7 +22,7 @@
 
 constexpr int FailedExit = 1;
 constexpr int UsageExit = 2;
-constexpr Duration AskTimeout = Duration::seconds(10);
+constexpr Duration RequestTimeout = Duration::seconds(10);
 constexpr int MaxPort = 65535;
 
 bool isHostPort(const std::string &text)
@@ -33,7 +33,7 @@
         && port > 0 && port <= MaxPort;
 }
 
-std::string encoded(const std::string &text)
+std::string percentEncode(const std::string &text)
 {
     std::string safe;
     for (const char c : text) {
@@ -44,7 +44,7 @@
 }
 
 /** Asks a node and waits. The exit code, and with 0 the body; with others the fault was printed. */
-std::pair<int, std::string> ask(const std::string &node, const std::string &target, std::ostream &errors)
+std::pair<int, std::string> fetchFromNode(const std::string &node, const std::string &target, std::ostream &errors)
 {
     if (!isHostPort(node)) {
         errors << "--node '" << node << "' is not host:port; give for example 127.0.0.1:9090\n";
@@ -56,7 +56,7 @@
     HttpClient client;
     HttpCall call;
     call.url = "http://" + node + target;
-    call.totalTimeout = AskTimeout;
+    call.totalTimeout = RequestTimeout;
     call.onData = [&](std::string_view data) {
         body.append(data);
         return true;
@@ -78,7 +78,7 @@
     return { 0, body };
 }
 
-std::string wordOf(const Json &value)
+std::string textOf(const Json &value)
 {
     return value.is_string() ? value.get<std::string>() : value.dump();
 }
@@ -86,19 +86,19 @@
 void printStatus(const Json &status, std::ostream &out)
 {
     const Json &config = status.at("config");
-    out << fmt::format("node {}  zone {}  config version {}  draining {}  fresh {}  nodes seen {}\n", wordOf(status.at("node")),
-        wordOf(status.at("zone")), wordOf(status.at("config_version")), wordOf(status.at("draining")), wordOf(status.at("fresh")),
+    out << fmt::format("node {}  zone {}  config version {}  draining {}  fresh {}  nodes seen {}\n", textOf(status.at("node")),
+        textOf(status.at("zone")), textOf(status.at("config_version")), textOf(status.at("draining")), textOf(status.at("fresh")),
         status.at("nodes").size());
-    out << fmt::format("  one-time requests {} ({} bytes)  watches the configuration {}  trouble {}\n", wordOf(status.at("ledger_entries")),
-        wordOf(status.at("ledger_bytes")), wordOf(config.at("watcher")),
-        wordOf(config.at("trouble")).empty() ? "none" : wordOf(config.at("trouble")));
+    out << fmt::format("  one-time requests {} ({} bytes)  watches the configuration {}  trouble {}\n", textOf(status.at("ledger_entries")),
+        textOf(status.at("ledger_bytes")), textOf(config.at("watcher")),
+        textOf(config.at("trouble")).empty() ? "none" : textOf(config.at("trouble")));
     const Json &membership = status.at("membership");
     out << fmt::format("  membership: suspicions {}  deaths {}  refutations {}  pauses {}  rejected {}\n",
-        wordOf(membership.at("suspicions")), wordOf(membership.at("deaths")), wordOf(membership.at("refutations")),
-        wordOf(membership.at("pauses")), wordOf(membership.at("rejected")));
+        textOf(membership.at("suspicions")), textOf(membership.at("deaths")), textOf(membership.at("refutations")),
+        textOf(membership.at("pauses")), textOf(membership.at("rejected")));
     for (const Json &engine : status.at("engines")) {
-        out << fmt::format("  engine {}  queued {}  running {}  resident {}\n", wordOf(engine.at("id")), wordOf(engine.at("queued")),
-            wordOf(engine.at("running")), wordOf(engine.at("resident")));
+        out << fmt::format("  engine {}  queued {}  running {}  resident {}\n", textOf(engine.at("id")), textOf(engine.at("queued")),
+            textOf(engine.at("running")), textOf(engine.at("resident")));
     }
     out << fmt::format("  leaving: nodes {}  upstreams {}\n", status.at("leaving_nodes").dump(), status.at("leaving_upstreams").dump());
 }
@@ -111,7 +111,7 @@
         errors << "--json and --html exclude each other; give one\n";
         return UsageExit;
     }
-    const auto [code, body] = ask(query.node, query.isOfAll ? "/slo?all=1" : "/slo", errors);
+    const auto [code, body] = fetchFromNode(query.node, query.isForAllNodes ? "/slo?all=1" : "/slo", errors);
     if (code != 0) {
         return code;
     }
@@ -136,7 +136,7 @@
 
 int showStatus(const OperatorQuery &query, std::ostream &out, std::ostream &errors)
 {
-    const auto [code, body] = ask(query.node, query.isOfAll ? "/status?all=1" : "/status", errors);
+    const auto [code, body] = fetchFromNode(query.node, query.isForAllNodes ? "/status?all=1" : "/status", errors);
     if (code != 0) {
         return code;
     }
@@ -146,7 +146,7 @@
     }
     try {
         const Json json = Json::parse(body);
-        if (!query.isOfAll) {
+        if (!query.isForAllNodes) {
             printStatus(json, out);
             return 0;
         }
@@ -154,7 +154,7 @@
             printStatus(status, out);
         }
         for (const Json &missing : json.at("missing")) {
-            out << "missing: " << wordOf(missing) << "\n";
+            out << "missing: " << textOf(missing) << "\n";
         }
         return 0;
     } catch (const Json::exception &exception) {
@@ -165,7 +165,7 @@
 
 int showAddress(const std::string &callerPort, const std::string &selector, bool isJson, std::ostream &out, std::ostream &errors)
 {
-    const auto [code, body] = ask(callerPort, "/v1/address?explain=1&model=" + encoded(selector), errors);
+    const auto [code, body] = fetchFromNode(callerPort, "/v1/address?explain=1&model=" + percentEncode(selector), errors);
     if (code != 0) {
         return code;
     }
@@ -175,14 +175,14 @@
     }
     try {
         const Json json = Json::parse(body);
-        out << fmt::format("{} resolves to {}@{} in configuration version {}; keep for {} ms\n", selector, wordOf(json.at("adapter")),
-            wordOf(json.at("version")), wordOf(json.at("config_version")), wordOf(json.at("keep_ms")));
+        out << fmt::format("{} resolves to {}@{} in configuration version {}; keep for {} ms\n", selector, textOf(json.at("adapter")),
+            textOf(json.at("version")), textOf(json.at("config_version")), textOf(json.at("keep_ms")));
         for (const Json &candidate : json.at("candidates")) {
-            out << fmt::format("engine {} of node {}\n", wordOf(candidate.at("upstream")), wordOf(candidate.at("owner")));
+            out << fmt::format("engine {} of node {}\n", textOf(candidate.at("upstream")), textOf(candidate.at("owner")));
         }
         for (const Json &choice : json.at("addresses")) {
-            out << fmt::format("caller is told: node {} in zone {} at {}\n", wordOf(choice.at("node")), wordOf(choice.at("zone")),
-                wordOf(choice.at("address")));
+            out << fmt::format("caller is told: node {} in zone {} at {}\n", textOf(choice.at("node")), textOf(choice.at("zone")),
+                textOf(choice.at("address")));
         }
         return 0;
     } catch (const Json::exception &exception) {
--- a/main/operatorcommands.h
+++ b/main/operatorcommands.h
@@ -11,7 +11,7 @@
 {
     /** host:port of a node's operator port. */
     std::string node;
-    bool isOfAll = false;
+    bool isForAllNodes = false;
     bool isJson = false;
     /** For burn: file that takes the page; empty prints text. */
     std::string htmlFile;
--- a/main/operatorport.cpp
+++ b/main/operatorport.cpp
@@ -14,8 +14,8 @@
 
 constexpr const char *BurnTopic = "slo";
 constexpr const char *StatusTopic = "status";
-constexpr const char *UnseenNode = "(a node of the VM list that does not live here)";
-constexpr double TargetParts = 10'000;
+constexpr const char *UnreachableNode = "(a node of the VM list that does not live here)";
+constexpr double TargetDenominator = 10'000;
 
 using Json = nlohmann::json;
 
@@ -26,13 +26,13 @@
 }
 
 /** The answers of all nodes to one question; the last one to come in ends it. Thread-safe. */
-class Gathering
+class AnswerCollector
 {
 public:
     using Answers = std::vector<std::pair<NodeId, Result<std::string>>>;
 
-    Gathering(std::size_t expected, std::function<void(const Answers &)> done)
-        : m_missing(expected)
+    AnswerCollector(std::size_t expected, std::function<void(const Answers &)> done)
+        : m_pending(expected)
         , m_done(std::move(done))
     {
     }
@@ -42,7 +42,7 @@
         {
             const absl::MutexLock lock(&m_mutex);
             m_answers.emplace_back(node, std::move(answer));
-            if (--m_missing > 0) {
+            if (--m_pending > 0) {
                 return;
             }
         }
@@ -57,13 +57,13 @@
     }
 
     absl::Mutex m_mutex;
-    std::size_t m_missing ABSL_GUARDED_BY(m_mutex);
+    std::size_t m_pending ABSL_GUARDED_BY(m_mutex);
     Answers m_answers ABSL_GUARDED_BY(m_mutex);
     std::function<void(const Answers &)> m_done;
 };
 
-void askOthers(Peers &peers, const NodeId &self, const FleetView *fleet, const std::string &topic,
-    std::function<void(const Gathering::Answers &)> done)
+void queryOtherNodes(Peers &peers, const NodeId &self, const FleetView *fleet, const std::string &topic,
+    std::function<void(const AnswerCollector::Answers &)> done)
 {
     std::vector<NodeView> others;
     for (const auto *nodes : { &fleet->nodes, &fleet->leavingNodes }) {
@@ -77,14 +77,14 @@
         done({});
         return;
     }
-    const auto gathering = std::make_shared<Gathering>(others.size(), std::move(done));
+    const auto collector = std::make_shared<AnswerCollector>(others.size(), std::move(done));
     for (const NodeView &node : others) {
         if (node.rpcAddress.empty()) {
-            gathering->add(node.id, Error { ErrorKind::PeerUnreachable, "no address yet" });
+            collector->add(node.id, Error { ErrorKind::PeerUnreachable, "no address yet" });
             continue;
         }
         peers.sendMessage(node.rpcAddress, OperatorPart, topic,
-            [gathering, id = node.id](Result<std::string> answer) { gathering->add(id, std::move(answer)); });
+            [collector, id = node.id](Result<std::string> answer) { collector->add(id, std::move(answer)); });
     }
 }
 
@@ -93,7 +93,7 @@
 std::array<Objective, ServiceClassCount> objectivesOf(const Settings &settings)
 {
     const auto of = [&](const char *target, const char *limit) {
-        return Objective { static_cast<double>(settings.number(target)) / TargetParts, settings.duration(limit) };
+        return Objective { static_cast<double>(settings.number(target)) / TargetDenominator, settings.duration(limit) };
     };
     return { of("objectives.urgent_target", "objectives.urgent_first_token_ms"),
         of("objectives.standard_target", "objectives.standard_first_token_ms"),
@@ -165,19 +165,19 @@
     return Error { ErrorKind::NotFound, "no topic " + topic };
 }
 
-void OperatorPort::burnOfAll(const std::shared_ptr<HttpExchange> &exchange) const
+void OperatorPort::respondBurnOfAllNodes(const std::shared_ptr<HttpExchange> &exchange) const
 {
     const auto view = m_parts.fleet.get();
     auto report = std::make_shared<BurnReport>(burn());
     if (view == nullptr || view->isNodeMissing) {
-        report->missing.emplace_back(UnseenNode);
+        report->missing.emplace_back(UnreachableNode);
     }
     if (view == nullptr) {
         exchange->respond(200, jsonHeaders(), burnJson(*report));
         return;
     }
-    askOthers(m_parts.peers, NodeId(m_parts.settings.text("node.id")), view.get(), BurnTopic,
-        [report, exchange](const Gathering::Answers &answers) {
+    queryOtherNodes(m_parts.peers, NodeId(m_parts.settings.text("node.id")), view.get(), BurnTopic,
+        [report, exchange](const AnswerCollector::Answers &answers) {
             for (const auto &[node, answer] : answers) {
                 const auto other = answer.isOk() ? parseBurnJson(answer.value()) : Result<BurnReport>(answer.error());
                 const auto added = other.isOk() ? report->add(other.value()) : Result<bool>(other.error());
@@ -189,19 +189,19 @@
         });
 }
 
-void OperatorPort::statusOfAll(const std::shared_ptr<HttpExchange> &exchange) const
+void OperatorPort::respondStatusOfAllNodes(const std::shared_ptr<HttpExchange> &exchange) const
 {
     const auto view = m_parts.fleet.get();
     auto all = std::make_shared<Json>(Json { { "nodes", Json::array({ Json::parse(statusBody()) }) }, { "missing", Json::array() } });
     if (view == nullptr || view->isNodeMissing) {
-        (*all)["missing"].push_back(UnseenNode);
+        (*all)["missing"].push_back(UnreachableNode);
     }
     if (view == nullptr) {
         exchange->respond(200, jsonHeaders(), all->dump(2) + "\n");
         return;
     }
-    askOthers(m_parts.peers, NodeId(m_parts.settings.text("node.id")), view.get(), StatusTopic,
-        [all, exchange](const Gathering::Answers &answers) {
+    queryOtherNodes(m_parts.peers, NodeId(m_parts.settings.text("node.id")), view.get(), StatusTopic,
+        [all, exchange](const AnswerCollector::Answers &answers) {
             for (const auto &[node, answer] : answers) {
                 Json status = answer.isOk() ? Json::parse(answer.value(), nullptr, false) : Json();
                 if (status.is_object()) {
@@ -217,7 +217,7 @@
 void OperatorPort::handle(const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) const
 {
     const HttpHeaders plain { { "Content-Type", "text/plain; version=0.0.4" } };
-    const bool isOfAll = request.parameter("all") == "1";
+    const bool isForAllNodes = request.parameter("all") == "1";
     if (request.path == "/healthz") {
         exchange->respond(200, plain, "ok\n");
     } else if (request.path == "/readyz") {
@@ -226,9 +226,9 @@
     } else if (request.path == "/metrics") {
         exchange->respond(200, plain, m_parts.metrics.text());
     } else if (request.path == "/status") {
-        isOfAll ? statusOfAll(exchange) : exchange->respond(200, jsonHeaders(), statusBody());
+        isForAllNodes ? respondStatusOfAllNodes(exchange) : exchange->respond(200, jsonHeaders(), statusBody());
     } else if (request.path == "/slo") {
-        isOfAll ? burnOfAll(exchange) : exchange->respond(200, jsonHeaders(), burnJson(burn()));
+        isForAllNodes ? respondBurnOfAllNodes(exchange) : exchange->respond(200, jsonHeaders(), burnJson(burn()));
     } else {
         exchange->respond(404, plain, "not found\n");
     }
--- a/main/operatorport.h
+++ b/main/operatorport.h
@@ -54,8 +54,8 @@
 private:
     std::string statusBody() const;
     BurnReport burn() const;
-    void burnOfAll(const std::shared_ptr<HttpExchange> &exchange) const;
-    void statusOfAll(const std::shared_ptr<HttpExchange> &exchange) const;
+    void respondBurnOfAllNodes(const std::shared_ptr<HttpExchange> &exchange) const;
+    void respondStatusOfAllNodes(const std::shared_ptr<HttpExchange> &exchange) const;
 
     OperatorParts m_parts;
 };
--- a/tests/main/testoperators.cpp
+++ b/tests/main/testoperators.cpp
@@ -46,7 +46,7 @@
 }
 
 /** Sends @p count urgent completions and returns how many were refused. */
-int refusals(const Node &node, int count)
+int countRefusals(const Node &node, int count)
 {
     HttpClient client;
     std::atomic<int> refused { 0 };
@@ -67,9 +67,9 @@
     return refused;
 }
 
-/** Asks until @p isWanted, for 20 s at most. */
-Json askUntil(int (*show)(const OperatorQuery &, std::ostream &, std::ostream &), const OperatorQuery &query,
-    const std::function<bool(const Json &)> &isWanted)
+/** Asks until @p isExpected, for 20 s at most. */
+Json pollUntil(int (*show)(const OperatorQuery &, std::ostream &, std::ostream &), const OperatorQuery &query,
+    const std::function<bool(const Json &)> &isExpected)
 {
     Json answer;
     for (int i = 0; i < 200; ++i) {
@@ -77,7 +77,7 @@
         std::ostringstream errors;
         if (show(query, out, errors) == 0) {
             answer = Json::parse(out.str());
-            if (isWanted(answer)) {
+            if (isExpected(answer)) {
                 return answer;
             }
         }
@@ -105,15 +105,15 @@
         list = Json { { "vms", { vmOf("n1", *first), vmOf("n2", *second) } } }.dump();
     }
     OperatorQuery query { local(first->operatorPort()), true, true, {} };
-    const Json status = askUntil(showStatus, query, [](const Json &json) { return json.at("nodes").size() == 2; });
+    const Json status = pollUntil(showStatus, query, [](const Json &json) { return json.at("nodes").size() == 2; });
     cr_assert_eq(status.at("nodes").size(), 2);
-    cr_assert_eq(refusals(*first, 3) + refusals(*second, 7), 10);
-    const Json burn = askUntil(showBurn, query, [](const Json &json) { return json.at("nodes").size() == 2; });
+    cr_assert_eq(countRefusals(*first, 3) + countRefusals(*second, 7), 10);
+    const Json burn = pollUntil(showBurn, query, [](const Json &json) { return json.at("nodes").size() == 2; });
     cr_assert_eq(burn.at("classes").at("urgent").at("bad"), 10);
     cr_assert_float_eq(burn.at("classes").at("urgent").at("burn_5m").get<double>(), 100, 1);
     cr_assert(burn.at("missing").empty() && burn.at("deployment") == "kumasi");
     second.reset();
-    const Json after = askUntil(showBurn, query, [](const Json &json) { return !json.at("missing").empty(); });
+    const Json after = pollUntil(showBurn, query, [](const Json &json) { return !json.at("missing").empty(); });
     cr_assert_not(after.at("missing").empty());
     cr_assert_eq(after.at("classes").at("urgent").at("bad"), 3);
 }
@@ -125,7 +125,7 @@
     ManualClock clock;
     ServiceLevels levels(objectivesOf(*settings));
     Metrics metrics;
-    metrics.feed(levels, clock);
+    metrics.setServiceLevels(levels, clock);
     for (int second = 0; second < 3600; ++second) {
         const bool isOutage = second >= 3240 && second % 4 == 0;
         metrics.serviceCall("payments", isOutage ? 500 : 200, Duration(20));
