--- a/main/configreader.cpp
+++ b/main/configreader.cpp
@@ -22,7 +22,7 @@
 constexpr int NotFoundStatus = 404;
 constexpr absl::Duration TickInterval = absl::Milliseconds(50);
 // A base of a few hundred adapters; changes stay far below, so that they do not pay for giving memory back.
-constexpr std::size_t GiveBackAfterBytes = 256U << 10U;
+constexpr std::size_t TrimThresholdBytes = 256U << 10U;
 
 // What the worker has to take, in the order of its coming.
 struct FetchedText
@@ -31,7 +31,7 @@
     Result<std::string> text;
 };
 
-using Arrival = std::variant<FetchedText, ConfigFact>;
+using Input = std::variant<FetchedText, ConfigFact>;
 
 ConfigSyncSettings syncSettings(const Settings &settings)
 {
@@ -74,85 +74,85 @@
     // Of the worker alone.
     ConfigSync sync;
     std::shared_ptr<const FleetView> lastFleet;
-    std::size_t bytesTaken = 0;
-    bool isPutInForce = false;
+    std::size_t bytesFetched = 0;
+    bool hasActivated = false;
 
     mutable absl::Mutex mutex;
-    std::vector<Arrival> arrivals ABSL_GUARDED_BY(mutex);
+    std::vector<Input> inputs ABSL_GUARDED_BY(mutex);
     ConfigStore store ABSL_GUARDED_BY(mutex);
     ConfigStatus status ABSL_GUARDED_BY(mutex);
     bool isStopping ABSL_GUARDED_BY(mutex) = false;
 
     void run();
-    void giveMemoryBack();
-    bool waitForArrivals(std::vector<Arrival> &taken);
-    void arrived(Arrival arrival);
-    void take(const FetchedText &fetched);
-    void take(const ConfigFact &fact);
+    void trimMemory();
+    bool waitForInputs(std::vector<Input> &batch);
+    void enqueue(Input input);
+    void process(const FetchedText &fetched);
+    void process(const ConfigFact &fact);
     void handle(const ConfigEvent &event);
-    void carryOut(const FetchValue &fetch);
-    void carryOut(const ActivateConfig &version);
-    void carryOut(const ReportConfigProblem &report);
-    void askService(const FetchValue &fetch);
-    void askPeer(const FetchValue &fetch, const std::string &address);
+    void execute(const FetchValue &fetch);
+    void execute(const ActivateConfig &version);
+    void execute(const ReportConfigProblem &report);
+    void fetchFromService(const FetchValue &fetch);
+    void fetchFromPeer(const FetchValue &fetch, const std::string &address);
 };
 
 void ConfigReader::Private::run()
 {
-    std::vector<Arrival> taken;
-    while (waitForArrivals(taken)) {
+    std::vector<Input> batch;
+    while (waitForInputs(batch)) {
         const auto view = fleet.get();
         if (view != nullptr && view != lastFleet) {
             lastFleet = view;
             handle(PeersChanged { view->nodes });
         }
-        for (const Arrival &arrival : taken) {
-            std::visit([this](const auto &one) { take(one); }, arrival);
+        for (const Input &input : batch) {
+            std::visit([this](const auto &one) { process(one); }, input);
         }
         handle(ConfigTick {});
-        taken.clear();
-        giveMemoryBack();
+        batch.clear();
+        trimMemory();
     }
 }
 
 // Reading a base leaves many small blocks free between those that stay, and the allocator keeps the pages: with 130,000 adapters the node
 // held several times what the catalog takes, which shows as resident memory over the limit. A base is read seldom, so giving back is cheap.
-void ConfigReader::Private::giveMemoryBack()
+void ConfigReader::Private::trimMemory()
 {
-    if (!isPutInForce || bytesTaken < GiveBackAfterBytes) {
+    if (!hasActivated || bytesFetched < TrimThresholdBytes) {
         return;
     }
-    isPutInForce = false;
-    bytesTaken = 0;
+    hasActivated = false;
+    bytesFetched = 0;
     malloc_trim(0);
 }
 
 // False when the reader stops.
-bool ConfigReader::Private::waitForArrivals(std::vector<Arrival> &taken)
+bool ConfigReader::Private::waitForInputs(std::vector<Input> &batch)
 {
     const absl::MutexLock lock(&mutex);
-    const auto isDue = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex) { return isStopping || !arrivals.empty(); };
+    const auto isDue = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex) { return isStopping || !inputs.empty(); };
     mutex.AwaitWithTimeout(absl::Condition(&isDue), TickInterval);
-    taken = std::exchange(arrivals, {});
+    batch = std::exchange(inputs, {});
     return !isStopping;
 }
 
-void ConfigReader::Private::arrived(Arrival arrival)
+void ConfigReader::Private::enqueue(Input input)
 {
     const absl::MutexLock lock(&mutex);
     if (!isStopping) {
-        arrivals.push_back(std::move(arrival));
+        inputs.push_back(std::move(input));
     }
 }
 
-void ConfigReader::Private::take(const FetchedText &fetched)
+void ConfigReader::Private::process(const FetchedText &fetched)
 {
     const FetchValue &fetch = fetched.fetch;
     if (!fetched.text.isOk()) {
         handle(ValueFetched { fetch.id, fetched.text.error() });
         return;
     }
-    bytesTaken += fetched.text.value().size();
+    bytesFetched += fetched.text.value().size();
     auto value = parseConfigValue(fetch.kind, fetch.hash, fetched.text.value());
     if (value.isOk()) {
         const absl::MutexLock lock(&mutex);
@@ -161,7 +161,7 @@
     handle(ValueFetched { fetch.id, std::move(value) });
 }
 
-void ConfigReader::Private::take(const ConfigFact &fact)
+void ConfigReader::Private::process(const ConfigFact &fact)
 {
     handle(VersionAnnounced { fact });
 }
@@ -169,37 +169,37 @@
 void ConfigReader::Private::handle(const ConfigEvent &event)
 {
     for (const ConfigAction &action : sync.handle(event, clock.now())) {
-        std::visit([this](const auto &one) { carryOut(one); }, action);
+        std::visit([this](const auto &one) { execute(one); }, action);
     }
     const absl::MutexLock lock(&mutex);
     status.isWatcher = sync.isWatcher();
 }
 
-void ConfigReader::Private::carryOut(const FetchValue &fetch)
+void ConfigReader::Private::execute(const FetchValue &fetch)
 {
     if (!fetch.peer) {
-        askService(fetch);
+        fetchFromService(fetch);
         return;
     }
     const auto view = fleet.get();
     const NodeView *node = view == nullptr ? nullptr : view->node(*fetch.peer);
     if (peers == nullptr || node == nullptr || node->rpcAddress.empty()) {
-        arrived(FetchedText { fetch, Error { ErrorKind::PeerUnreachable, "node " + fetch.peer->value() + " has no address" } });
+        enqueue(FetchedText { fetch, Error { ErrorKind::PeerUnreachable, "node " + fetch.peer->value() + " has no address" } });
         return;
     }
-    askPeer(fetch, node->rpcAddress);
+    fetchFromPeer(fetch, node->rpcAddress);
 }
 
-void ConfigReader::Private::askPeer(const FetchValue &fetch, const std::string &address)
+void ConfigReader::Private::fetchFromPeer(const FetchValue &fetch, const std::string &address)
 {
     const std::string name =
         std::string(ConfigValuePrefix) + (fetch.kind == ConfigValueKind::Head ? std::string(ConfigHeadName) : fetch.hash);
     peers->fetch(address, name, [self = shared_from_this(), fetch](Result<std::string> text) {
-        self->arrived(FetchedText { fetch, std::move(text) });
+        self->enqueue(FetchedText { fetch, std::move(text) });
     });
 }
 
-void ConfigReader::Private::askService(const FetchValue &fetch)
+void ConfigReader::Private::fetchFromService(const FetchValue &fetch)
 {
     const std::string name = fetch.kind == ConfigValueKind::Head ? std::string(ConfigHeadName) : fetch.hash;
     HttpCall call;
@@ -217,29 +217,29 @@
     };
     call.onDone = [self = shared_from_this(), fetch, body](const CallResult &result) {
         if (result.state == AttemptState::Answered && result.status == OkStatus) {
-            self->arrived(FetchedText { fetch, std::move(*body) });
+            self->enqueue(FetchedText { fetch, std::move(*body) });
             return;
         }
         const bool isMissing = result.state == AttemptState::Answered && result.status == NotFoundStatus;
-        self->arrived(FetchedText { fetch, Error { isMissing ? ErrorKind::NotFound : ErrorKind::UpstreamUnreachable, result.detail } });
+        self->enqueue(FetchedText { fetch, Error { isMissing ? ErrorKind::NotFound : ErrorKind::UpstreamUnreachable, result.detail } });
     };
     client.start(std::move(call));
 }
 
-void ConfigReader::Private::carryOut(const ActivateConfig &version)
+void ConfigReader::Private::execute(const ActivateConfig &version)
 {
     catalog.set(version.catalog);
-    isPutInForce = true;
-    metrics.configVersion(version.catalog->version().value());
-    bool isBaseLacking = false;
+    hasActivated = true;
+    metrics.setConfigVersion(version.catalog->version().value());
+    bool isBaseNeeded = false;
     {
         const absl::MutexLock lock(&mutex);
-        isBaseLacking = version.base != nullptr && store.lacksBase(version.head);
+        isBaseNeeded = version.base != nullptr && store.needsBase(version.head);
     }
-    const auto base = isBaseLacking ? std::optional(configBaseTexts(version.base->content())) : std::nullopt;
+    const auto base = isBaseNeeded ? std::optional(configBaseTexts(version.base->content())) : std::nullopt;
     {
         const absl::MutexLock lock(&mutex);
-        store.putInForce(version.head, base);
+        store.activate(version.head, base);
         status.version = version.catalog->version().value();
         status.valueCount = store.count();
         status.valueBytes = store.bytes();
@@ -251,13 +251,13 @@
     }
 }
 
-void ConfigReader::Private::carryOut(const ReportConfigProblem &report)
+void ConfigReader::Private::execute(const ReportConfigProblem &report)
 {
-    const std::string word(configProblemName(report.problem));
-    metrics.configRefused(word);
-    log->error("Configuration {} is in trouble. reason={} detail='{}'", report.version.value(), word, report.detail);
+    const std::string problemName(configProblemName(report.problem));
+    metrics.configRefused(problemName);
+    log->error("Configuration {} is in trouble. reason={} detail='{}'", report.version.value(), problemName, report.detail);
     const absl::MutexLock lock(&mutex);
-    status.problem = "version " + std::to_string(report.version.value()) + ", " + word + ": " + report.detail;
+    status.problem = "version " + std::to_string(report.version.value()) + ", " + problemName + ": " + report.detail;
 }
 
 ConfigReader::ConfigReader(const Settings &settings, HttpClient &client, const Clock &clock, Metrics &metrics,
@@ -293,9 +293,9 @@
     }
 }
 
-void ConfigReader::versionHeard(const ConfigFact &fact)
+void ConfigReader::onVersionAnnounced(const ConfigFact &fact)
 {
-    d->arrived(fact);
+    d->enqueue(fact);
 }
 
 Result<std::string> ConfigReader::value(const std::string &name) const
--- a/main/configreader.h
+++ b/main/configreader.h
@@ -55,7 +55,7 @@
     /** Ends the thread. Answers that come later are dropped. */
     void stop();
     /** A peer told of a version. */
-    void versionHeard(const ConfigFact &fact);
+    void onVersionAnnounced(const ConfigFact &fact);
     /** The value under `config/head` or `config/HASH`, for a peer. Errors: NotFound. */
     Result<std::string> value(const std::string &name) const;
     ConfigStatus status() const;
--- a/main/configstore.cpp
+++ b/main/configstore.cpp
@@ -24,12 +24,12 @@
     }
 }
 
-bool ConfigStore::lacksBase(const ConfigHead &head) const
+bool ConfigStore::needsBase(const ConfigHead &head) const
 {
     return head.baseHash != m_baseHash;
 }
 
-void ConfigStore::putInForce(const ConfigHead &head, const std::optional<ConfigBaseTexts> &base)
+void ConfigStore::activate(const ConfigHead &head, const std::optional<ConfigBaseTexts> &base)
 {
     m_head = head.hash.empty() ? std::string() : configHeadText(head);
     if (base) {
--- a/main/configstore.h
+++ b/main/configstore.h
@@ -24,9 +24,9 @@
     /** Keeps a value that was fetched; it is dropped when a head in force no longer needs it. */
     void put(const ConfigValue &value, const std::string &text);
     /** Whether the base of @p head is still to be worked out. */
-    bool lacksBase(const ConfigHead &head) const;
+    bool needsBase(const ConfigHead &head) const;
     /** @p head is in force now. @p base: its base, where it was worked out; else what was fetched stays. */
-    void putInForce(const ConfigHead &head, const std::optional<ConfigBaseTexts> &base);
+    void activate(const ConfigHead &head, const std::optional<ConfigBaseTexts> &base);
 
     /** @p name: `head` or a hash. Errors: NotFound. */
     Result<std::string> find(const std::string &name) const;
--- a/main/membershiprunner.cpp
+++ b/main/membershiprunner.cpp
@@ -54,9 +54,9 @@
     std::unique_ptr<Membership> membership ABSL_GUARDED_BY(mutex);
 
     void handle(const MembershipEvent &event);
-    void carryOut(const SendDatagram &action);
-    void carryOut(const ViewChanged &action);
-    void carryOut(const RumourLearned &action);
+    void execute(const SendDatagram &action);
+    void execute(const ViewChanged &action);
+    void execute(const RumourLearned &action);
     void received(std::string_view bytes, const std::string &from);
 };
 
@@ -72,20 +72,20 @@
         // Views are published under the lock: two threads could otherwise leave the older one in force.
         for (const MembershipAction &action : actions) {
             if (const auto *change = std::get_if<ViewChanged>(&action)) {
-                carryOut(*change);
+                execute(*change);
             }
         }
     }
     for (const MembershipAction &action : actions) {
         if (const auto *datagram = std::get_if<SendDatagram>(&action)) {
-            carryOut(*datagram);
+            execute(*datagram);
         } else if (const auto *rumour = std::get_if<RumourLearned>(&action)) {
-            carryOut(*rumour);
+            execute(*rumour);
         }
     }
 }
 
-void MembershipRunner::Private::carryOut(const SendDatagram &action)
+void MembershipRunner::Private::execute(const SendDatagram &action)
 {
     const std::string bytes = encodeMemberDatagram(action.datagram, settings.text("fleet.secret"));
     if (bytes.size() > MaxMemberDatagramBytes) {
@@ -96,14 +96,14 @@
     socket->send(action.address, bytes);
 }
 
-void MembershipRunner::Private::carryOut(const ViewChanged &action)
+void MembershipRunner::Private::execute(const ViewChanged &action)
 {
     fleet.set(action.view);
     log->info("The view has {} nodes, {} leaving nodes and {} leaving upstreams.", action.view->nodes.size(),
         action.view->leavingNodes.size(), action.view->leaving.size());
 }
 
-void MembershipRunner::Private::carryOut(const RumourLearned &action)
+void MembershipRunner::Private::execute(const RumourLearned &action)
 {
     for (const RumourHandler &handler : handlers) {
         handler(action.rumour);
--- a/main/metrics.cpp
+++ b/main/metrics.cpp
@@ -156,7 +156,7 @@
     d->forwards.Add({ { "outcome", outcome } }).Increment();
 }
 
-void Metrics::configVersion(std::uint64_t version)
+void Metrics::setConfigVersion(std::uint64_t version)
 {
     d->config.Set(static_cast<double>(version));
 }
--- a/main/metrics.h
+++ b/main/metrics.h
@@ -31,7 +31,7 @@
     void eviction(bool isEvicted);
     /** @p outcome: tried, unreachable or too_many_hops. */
     void forward(const std::string &outcome);
-    void configVersion(std::uint64_t version);
+    void setConfigVersion(std::uint64_t version);
     /** A configuration was not taken as published; @p reason: a word of configProblemName(). */
     void configRefused(const std::string &reason);
     void lateAnswerDropped();
--- a/main/node.cpp
+++ b/main/node.cpp
@@ -203,7 +203,7 @@
     d->config.connect(*d->rpc, [d](const ConfigFact &fact) { d->membership->announce(fact); });
     d->membership->onRumour([d](const Rumour &rumour) {
         if (const auto *fact = std::get_if<ConfigFact>(&rumour)) {
-            d->config.versionHeard(*fact);
+            d->config.onVersionAnnounced(*fact);
         }
     });
     d->rpc->servePart(std::string(PermitPart), [d](const std::string &bytes) { return d->permits.receive(bytes); });
--- a/tests/main/testpack.cpp
+++ b/tests/main/testpack.cpp
@@ -138,9 +138,9 @@
     cr_assert_eq(head.baseVersion.value(), 66);
     const auto catalog = ValueDirectory(folder / "v").catalog().value();
     ConfigStore store;
-    store.putInForce(head, configBaseTexts(catalog->content()));
+    store.activate(head, configBaseTexts(catalog->content()));
     cr_assert(store.find(head.baseHash).isOk());
-    cr_assert_not(store.lacksBase(head));
+    cr_assert_not(store.needsBase(head));
 }
 
 Test(pack, whatTheCheckRefusesIsNotPublished)
