--- a/main/catalogini.cpp
+++ b/main/catalogini.cpp
@@ -65,9 +65,9 @@
 
 std::pair<std::string_view, std::string> kindAndName(const std::string &section)
 {
-    const std::size_t blank = section.find(' ');
-    const std::string_view kind = std::string_view(section).substr(0, blank);
-    const std::string name = blank == std::string::npos ? "" : std::string(absl::StripAsciiWhitespace(section.substr(blank)));
+    const std::size_t separator = section.find(' ');
+    const std::string_view kind = std::string_view(section).substr(0, separator);
+    const std::string name = separator == std::string::npos ? "" : std::string(absl::StripAsciiWhitespace(section.substr(separator)));
     return { kind, name };
 }
 
@@ -82,9 +82,9 @@
     checkUpstreams();
     checkServices();
     if (m_document.errors.empty()) {
-        const auto whole = Catalog::create(m_content);
-        if (!whole.isOk()) {
-            m_document.addError(m_document.lineCount, whole.error().detail);
+        const auto catalog = Catalog::create(m_content);
+        if (!catalog.isOk()) {
+            m_document.addError(m_document.lineCount, catalog.error().detail);
         }
     }
     if (!m_document.errors.empty()) {
--- a/main/logratelimiter.cpp
+++ b/main/logratelimiter.cpp
@@ -5,10 +5,10 @@
 namespace ApricotStep
 {
 
-std::optional<std::uint64_t> LogRateLimiter::admit(const std::string &sort, Time now)
+std::optional<std::uint64_t> LogRateLimiter::admit(const std::string &category, Time now)
 {
     const absl::MutexLock lock(&m_mutex);
-    Sort &state = m_sorts[sort];
+    Category &state = m_categories[category];
     if (now - state.windowStart >= Duration::seconds(1)) {
         state.windowStart = now;
         state.written = 0;
--- a/main/logratelimiter.h
+++ b/main/logratelimiter.h
@@ -25,18 +25,18 @@
 public:
     static constexpr std::uint64_t LinesPerSecond = 10;
 
-    /** Whether a line of @p sort may be written at @p now: the lines of that sort left out since the last one, or nothing. */
-    std::optional<std::uint64_t> admit(const std::string &sort, Time now);
+    /** Whether a line of @p category may be written at @p now: the lines of that sort left out since the last one, or nothing. */
+    std::optional<std::uint64_t> admit(const std::string &category, Time now);
 
 private:
-    struct Sort
+    struct Category
     {
         Time windowStart;
         std::uint64_t written = 0;
         std::uint64_t suppressedCount = 0;
     };
     absl::Mutex m_mutex;
-    absl::flat_hash_map<std::string, Sort> m_sorts ABSL_GUARDED_BY(m_mutex);
+    absl::flat_hash_map<std::string, Category> m_categories ABSL_GUARDED_BY(m_mutex);
 };
 
 } // namespace ApricotStep
--- a/main/membershiprunner.cpp
+++ b/main/membershiprunner.cpp
@@ -57,7 +57,7 @@
     void execute(const SendDatagram &action);
     void execute(const ViewChanged &action);
     void execute(const RumourLearned &action);
-    void received(std::string_view bytes, const std::string &from);
+    void onDatagram(std::string_view bytes, const std::string &from);
 };
 
 void MembershipRunner::Private::handle(const MembershipEvent &event)
@@ -110,7 +110,7 @@
     }
 }
 
-void MembershipRunner::Private::received(std::string_view bytes, const std::string &from)
+void MembershipRunner::Private::onDatagram(std::string_view bytes, const std::string &from)
 {
     bytesReceived += bytes.size();
     auto datagram = decodeMemberDatagram(bytes, settings.text("fleet.secret"));
@@ -164,7 +164,7 @@
         std::random_device random;
         d->membership = std::make_unique<Membership>(std::move(self), limitsOf(d->settings), random());
     }
-    d->socket->start([this](std::string_view bytes, const std::string &from) { d->received(bytes, from); });
+    d->socket->start([this](std::string_view bytes, const std::string &from) { d->onDatagram(bytes, from); });
 }
 
 void MembershipRunner::tick()
@@ -172,7 +172,7 @@
     d->handle(MembershipTick {});
 }
 
-void MembershipRunner::vmListRead(VmList list)
+void MembershipRunner::onVmListRead(VmList list)
 {
     d->handle(VmListRead { std::move(list) });
 }
--- a/main/membershiprunner.h
+++ b/main/membershiprunner.h
@@ -41,7 +41,7 @@
     void start(const NodeAddresses &addresses);
     /** Lets time pass; every 20 to 100 ms. */
     void tick();
-    void vmListRead(VmList list);
+    void onVmListRead(VmList list);
     /** Tells the fleet. */
     void announce(Rumour rumour);
     /** This node begins to shut down: from here on others give it no new work. */
--- a/main/node.cpp
+++ b/main/node.cpp
@@ -65,7 +65,7 @@
         , frontend({ NodeId(settings->text("node.id")), incarnation, ZoneId(settings->text("node.zone")), *settings, clock, *client,
               metrics, catalog, fleet, services, health, *rpc, &ownership, &permits })
         , config(*settings, *client, clock, metrics, catalog, fleet)
-        , platform(*settings, *client, clock, [this](VmList list) { vmListRead(std::move(list)); })
+        , platform(*settings, *client, clock, [this](VmList list) { onVmListRead(std::move(list)); })
     {
         metrics.setServiceLevels(levels, clock);
         permits.onAnswer([this](const UpstreamId &upstream, const SchedulerEvent &event) { frontend.onPermitEvent(upstream, event); });
@@ -115,16 +115,16 @@
 
     bool isBusy() const;
     void handOver();
-    Result<std::string> takeLedgerBatch(const std::string &bytes);
-    void vmListRead(VmList list);
+    Result<std::string> acceptLedgerBatch(const std::string &bytes);
+    void onVmListRead(VmList list);
     void tickLoop();
 };
 
-void Node::Private::vmListRead(VmList list)
+void Node::Private::onVmListRead(VmList list)
 {
     permits.setListedNodeCount(static_cast<int>(
         std::count_if(list.vms.begin(), list.vms.end(), [](const VmRecord &vm) { return vm.role == VmRole::Entry && !vm.leaving; })));
-    membership->vmListRead(std::move(list));
+    membership->onVmListRead(std::move(list));
 }
 
 void Node::Private::tickLoop()
@@ -145,14 +145,14 @@
 }
 
 // The successor tells the fleet, since this node may have ended before its own word has spread.
-Result<std::string> Node::Private::takeLedgerBatch(const std::string &bytes)
+Result<std::string> Node::Private::acceptLedgerBatch(const std::string &bytes)
 {
     HandOffFact fact;
-    const auto isWhole = services.oneTimeRequests().receiveBatch(bytes, &fact);
-    if (!isWhole.isOk()) {
-        return isWhole.error();
+    const auto isComplete = services.oneTimeRequests().receiveBatch(bytes, &fact);
+    if (!isComplete.isOk()) {
+        return isComplete.error();
     }
-    if (isWhole.value()) {
+    if (isComplete.value()) {
         log->info("Took the one-time requests of {}.", fact.node.value());
         membership->announce(fact);
     }
@@ -180,11 +180,11 @@
 
 Result<std::unique_ptr<Node>> Node::start(std::shared_ptr<const Settings> settings)
 {
-    const auto forPeers = rpcSettings(*settings);
-    if (!forPeers.isOk()) {
-        return forPeers.error();
+    const auto rpcConfig = rpcSettings(*settings);
+    if (!rpcConfig.isOk()) {
+        return rpcConfig.error();
     }
-    auto rpc = NodeRpc::start(forPeers.value());
+    auto rpc = NodeRpc::start(rpcConfig.value());
     if (!rpc.isOk()) {
         return rpc.error();
     }
@@ -207,7 +207,7 @@
         }
     });
     d->rpc->servePart(std::string(PermitPart), [d](const std::string &bytes) { return d->permits.receive(bytes); });
-    d->rpc->servePart(LedgerPart, [d](const std::string &bytes) { return d->takeLedgerBatch(bytes); });
+    d->rpc->servePart(LedgerPart, [d](const std::string &bytes) { return d->acceptLedgerBatch(bytes); });
     d->membership->onRumour([d](const Rumour &rumour) {
         if (const auto *fact = std::get_if<HandOffFact>(&rumour)) {
             d->services.oneTimeRequests().learn(*fact);
--- a/main/packcommand.cpp
+++ b/main/packcommand.cpp
@@ -17,7 +17,7 @@
 constexpr int ErrorExit = 2;
 // A starting node fetches the changes after the base one by one; this many take it well under a second at some milliseconds each.
 constexpr std::size_t MaxChangesAfterBase = 64;
-constexpr std::int64_t SecondMs = 1000;
+constexpr std::int64_t MillisecondsPerSecond = 1000;
 
 class Packer
 {
@@ -98,13 +98,13 @@
 Result<bool> Packer::packFirst(CatalogContent content, Time wallTime)
 {
     ConfigHead head;
-    head.version = ConfigVersion(static_cast<std::uint64_t>(wallTime.milliseconds() / SecondMs));
+    head.version = ConfigVersion(static_cast<std::uint64_t>(wallTime.milliseconds() / MillisecondsPerSecond));
     content.version = head.version;
-    const auto ordered = Catalog::create(std::move(content));
-    if (!ordered.isOk()) {
-        return ordered.error();
+    const auto firstCatalog = Catalog::create(std::move(content));
+    if (!firstCatalog.isOk()) {
+        return firstCatalog.error();
     }
-    const auto base = writeBase(ordered.value()->content(), head);
+    const auto base = writeBase(firstCatalog.value()->content(), head);
     return base.isOk() ? writeHead(head) : base;
 }
 
--- a/main/platformreader.cpp
+++ b/main/platformreader.cpp
@@ -38,7 +38,7 @@
 
     void read(const std::string &url, Duration timeout, std::function<void(const CallResult &, const std::string &)> done);
     void readVmList();
-    void takeVmList(const std::string &text);
+    void acceptVmList(const std::string &text);
 };
 
 void PlatformReader::Private::read(
@@ -63,14 +63,14 @@
     read(settings.text("platform.vm_list_url"), Duration::seconds(5),
         [self = shared_from_this()](const CallResult &result, const std::string &body) {
             if (result.state == AttemptState::Answered && result.status == OkStatus) {
-                self->takeVmList(body);
+                self->acceptVmList(body);
             }
             const absl::MutexLock lock(&self->mutex);
             self->nextVmRead = self->clock.now() + self->settings.duration("platform.vm_list_interval_ms");
         });
 }
 
-void PlatformReader::Private::takeVmList(const std::string &text)
+void PlatformReader::Private::acceptVmList(const std::string &text)
 {
     auto list = parseVmList(text);
     if (!list.isOk()) {
--- a/main/rpcsettings.cpp
+++ b/main/rpcsettings.cpp
@@ -43,14 +43,14 @@
     };
     const std::array files { File { "rpc.tls_certificate", &rpc.tlsCertificate }, File { "rpc.tls_key", &rpc.tlsKey },
         File { "rpc.tls_authority", &rpc.tlsAuthority } };
-    std::size_t given = 0;
+    std::size_t filesSet = 0;
     for (const File &file : files) {
-        given += settings.text(file.setting).empty() ? 0 : 1;
+        filesSet += settings.text(file.setting).empty() ? 0 : 1;
     }
-    if (given == 0) {
+    if (filesSet == 0) {
         return rpc;
     }
-    if (given != files.size()) {
+    if (filesSet != files.size()) {
         return Error { ErrorKind::SettingsInvalid, "set all of rpc.tls_certificate, rpc.tls_key and rpc.tls_authority, or none" };
     }
     for (const File &file : files) {
--- a/main/settings.cpp
+++ b/main/settings.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::size_t MinSecretLength = 16;
 
-const SettingSpec *specOf(std::string_view name)
+const SettingSpec *findSpec(std::string_view name)
 {
     for (const SettingSpec &spec : settingTable()) {
         const std::size_t dot = spec.section.size();
@@ -30,25 +30,25 @@
     return nullptr;
 }
 
-std::string nameOf(const SettingSpec &spec)
+std::string settingName(const SettingSpec &spec)
 {
     return std::string(spec.section) + '.' + std::string(spec.key);
 }
 
 // The pairs by name. Unknown and repeated ones become faults.
-std::map<std::string, IniPair, std::less<>> rowsOf(IniDocument &document)
+std::map<std::string, IniPair, std::less<>> indexPairs(IniDocument &document)
 {
-    std::map<std::string, IniPair, std::less<>> rows;
+    std::map<std::string, IniPair, std::less<>> pairsByName;
     for (const IniPair &pair : std::vector<IniPair>(document.pairs)) {
         const std::string name = pair.section + '.' + pair.key;
-        if (specOf(name) == nullptr) {
+        if (findSpec(name) == nullptr) {
             document.addError(
                 pair.line, "unknown setting '" + pair.key + "' in [" + pair.section + "]; see 'apricotstep node --help' for all of them");
-        } else if (!rows.emplace(name, pair).second) {
+        } else if (!pairsByName.emplace(name, pair).second) {
             document.addError(pair.line, "'" + pair.key + "' in [" + pair.section + "] is set twice; remove one");
         }
     }
-    return rows;
+    return pairsByName;
 }
 
 // Empty when the value is good, else what to change.
@@ -77,7 +77,7 @@
     return {};
 }
 
-std::string_view typeWord(const SettingSpec &spec)
+std::string_view typeName(const SettingSpec &spec)
 {
     switch (spec.type) {
     case SettingType::Text:
@@ -129,24 +129,24 @@
 Result<std::shared_ptr<const Settings>> Settings::parse(const std::string &text, const std::string &name)
 {
     IniDocument document = parseIni(text, name);
-    const auto rows = rowsOf(document);
+    const auto pairsByName = indexPairs(document);
     std::shared_ptr<Settings> settings(new Settings);
     for (const SettingSpec &spec : settingTable()) {
-        const std::string full = nameOf(spec);
-        const auto row = rows.find(full);
-        if (row == rows.end()) {
+        const std::string fullName = settingName(spec);
+        const auto found = pairsByName.find(fullName);
+        if (found == pairsByName.end()) {
             if (spec.isRequired) {
                 document.addError(
                     document.lineCount, "'" + std::string(spec.key) + "' is missing; add it to [" + std::string(spec.section) + "]");
             }
-            settings->d->values[full] = std::string(spec.defaultValue);
+            settings->d->values[fullName] = std::string(spec.defaultValue);
             continue;
         }
-        const std::string valueError = checkValue(spec, row->second.value);
+        const std::string valueError = checkValue(spec, found->second.value);
         if (!valueError.empty()) {
-            document.addError(row->second.line, valueError);
+            document.addError(found->second.line, valueError);
         }
-        settings->d->values[full] = row->second.value;
+        settings->d->values[fullName] = found->second.value;
     }
     if (!document.errors.empty()) {
         return Error { ErrorKind::SettingsInvalid, document.errors };
@@ -189,7 +189,7 @@
             page += "\n## [" + std::string(section) + "]\n\n| key | type | range | default | meaning |\n|---|---|---|---|---|\n";
         }
         const std::string unit = spec.unit.empty() ? "" : " (" + std::string(spec.unit) + ")";
-        page += "| `" + std::string(spec.key) + "` | " + std::string(typeWord(spec)) + unit + " | " + rangeText(spec) + " | "
+        page += "| `" + std::string(spec.key) + "` | " + std::string(typeName(spec)) + unit + " | " + rangeText(spec) + " | "
             + (spec.isRequired ? "required" : "`" + std::string(spec.defaultValue) + "`") + " | " + std::string(spec.description) + " |\n";
     }
     return page;
--- a/main/valuedirectory.cpp
+++ b/main/valuedirectory.cpp
@@ -52,8 +52,8 @@
         if (const auto *result = std::get_if<AssemblyResult>(&step)) {
             return result->catalog;
         }
-        const auto &wanted = std::get<MissingValue>(step);
-        auto value = read(wanted.kind, wanted.hash);
+        const auto &missing = std::get<MissingValue>(step);
+        auto value = read(missing.kind, missing.hash);
         if (!value.isOk()) {
             return value.error();
         }
@@ -76,14 +76,14 @@
     const auto &pages = std::get<ConfigBase>(base.value()).pages;
     all.insert(all.end(), pages.begin(), pages.end());
     std::string next = head.deltaHash;
-    for (ConfigVersion reached = head.version; reached > head.baseVersion;) {
+    for (ConfigVersion currentVersion = head.version; currentVersion > head.baseVersion;) {
         const auto delta = read(ConfigValueKind::Delta, next);
         if (!delta.isOk()) {
             return delta.error();
         }
         all.push_back(next);
         next = std::get<ConfigDelta>(delta.value()).previous;
-        reached = std::get<ConfigDelta>(delta.value()).change.from;
+        currentVersion = std::get<ConfigDelta>(delta.value()).change.from;
     }
     return all;
 }
@@ -92,19 +92,19 @@
 {
     std::error_code error;
     std::filesystem::create_directories(m_path, error);
-    const std::string place = m_path + "/" + name;
+    const std::string filePath = m_path + "/" + name;
     // Written aside and renamed, so that whoever publishes the directory never sees half a value.
     {
-        std::ofstream file(place + ".new", std::ios::binary | std::ios::trunc);
+        std::ofstream file(filePath + ".new", std::ios::binary | std::ios::trunc);
         file << text;
         file.flush();
         if (!file) {
-            return Error { ErrorKind::Internal, place + " cannot be written" };
+            return Error { ErrorKind::Internal, filePath + " cannot be written" };
         }
     }
-    std::filesystem::rename(place + ".new", place, error);
+    std::filesystem::rename(filePath + ".new", filePath, error);
     if (error) {
-        return Error { ErrorKind::Internal, place + " cannot be written: " + error.message() };
+        return Error { ErrorKind::Internal, filePath + " cannot be written: " + error.message() };
     }
     return true;
 }
