--- a/tests/main/testburnreport.cpp
+++ b/tests/main/testburnreport.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-Test(burnreport, sumsOverNodesCountEventsAndNotRates)
+Test(burnreport, sumOverNodesAddsEventsNotRates)
 {
     // One busy healthy node and one small failing one. The mean of their burn rates would raise a false page.
     BurnReport all = report("n1", 0, 900);
@@ -33,7 +33,7 @@
     cr_assert_float_eq(all.classes[0].budgetLeft(), -4.0, 1e-9);
 }
 
-Test(burnreport, survivesItsJsonAndRefusesOthers)
+Test(burnreport, jsonRoundTripAndMismatchedDeployment)
 {
     const BurnReport one = report("n<1>", 3, 7);
     const auto read = parseBurnJson(burnJson(one));
--- a/tests/main/testlog.cpp
+++ b/tests/main/testlog.cpp
@@ -11,7 +11,7 @@
 
 using namespace ApricotStep;
 
-Test(log, aMessageOfAnyBytesIsOneLineOfJson)
+Test(log, anyMessageIsOneValidJsonLine)
 {
     // An upstream's error text holds quotes, line breaks or bytes that are no UTF-8, and goes into the log as a detail. With a line that is
     // not JSON, the operator's log collector drops just the lines about the faults.
@@ -32,7 +32,7 @@
     cr_assert_not(std::getline(lines, line));
 }
 
-Test(log, repeatedLinesAreBoundedAndCounted)
+Test(log, repeatedLinesAreRateLimitedAndCounted)
 {
     // A node that is not ready yet refuses hundreds of requests a second; each wrote a line, and the cause was lost among them.
     LogRateLimiter limit;
--- a/tests/main/testmetrics.cpp
+++ b/tests/main/testmetrics.cpp
@@ -36,11 +36,11 @@
     const std::regex label("([a-z_]+)=\"");
     for (std::string line; std::getline(lines, line);) {
         std::istringstream words(line);
-        std::string mark;
+        std::string prefix;
         std::string kind;
         std::string name;
-        words >> mark >> kind >> name;
-        if (mark == "#") {
+        words >> prefix >> kind >> name;
+        if (prefix == "#") {
             std::string rest;
             std::getline(words >> std::ws, rest);
             (kind == "HELP" ? help : type)[name] = rest;
@@ -57,19 +57,19 @@
         }
     }
     std::set<std::string> rows;
-    for (const auto &[name, sentence] : help) {
+    for (const auto &[name, description] : help) {
         std::string all;
         for (const std::string &one : labels[name]) {
             all += (all.empty() ? "" : ", ") + one;
         }
-        rows.insert("| `" + name + "` | " + type[name] + " | " + (all.empty() ? "none" : all) + " | " + sentence + " |");
+        rows.insert("| `" + name + "` | " + type[name] + " | " + (all.empty() ? "none" : all) + " | " + description + " |");
     }
     return rows;
 }
 
 } // namespace
 
-Test(metrics, theReferencePageHasEachOneAsItIs)
+Test(metrics, referencePageMatchesMetrics)
 {
     // An operator writes alert rules by the page. A rule on a metric or a label that has gone by never fires, and nobody notices.
     Metrics metrics;
@@ -88,18 +88,18 @@
     entry.upstreamFailed("broken");
     entry.order("done");
     const std::string page = sourceFile("docs/METRICS.md");
-    std::set<std::string> written;
+    std::set<std::string> documented;
     std::istringstream lines(page);
     for (std::string line; std::getline(lines, line);) {
         if (line.starts_with("| `apricotstep_")) {
-            written.insert(line);
+            documented.insert(line);
         }
     }
     for (const std::string &row : rowsOf(metrics.text() + entry.text(EntryGauges {}))) {
-        cr_expect(written.contains(row), "docs/METRICS.md lacks: %s", row.c_str());
-        written.erase(row);
+        cr_expect(documented.contains(row), "docs/METRICS.md lacks: %s", row.c_str());
+        documented.erase(row);
     }
-    for (const std::string &row : written) {
+    for (const std::string &row : documented) {
         cr_expect(false, "no such metric, or not used above: %s", row.c_str());
     }
     // A metric with labels shows only once it has counted, so those that the lines above leave out are found in the source.
@@ -110,7 +110,7 @@
     }
 }
 
-Test(metrics, theAlertRulesNameMetricsThatExist)
+Test(metrics, alertRulesUseExistingMetrics)
 {
     const std::string page = sourceFile("docs/METRICS.md");
     const std::string rules = sourceFile("examples/alert-rules.yml");
--- a/tests/main/testoperators.cpp
+++ b/tests/main/testoperators.cpp
@@ -88,7 +88,7 @@
 
 } // namespace
 
-Test(operators, burnOverAllNodesCountsAnOutageAndNamesWhoIsMissing)
+Test(operators, burnOfAllNodesCountsOutageAndListsMissingNodes)
 {
     // The nodes have no configuration, so every caller is refused. Each operator port must show it, one of them the sum over both; and when
     // a node has died, a sum without it must not look like the whole.
@@ -118,7 +118,7 @@
     cr_assert_eq(after.at("classes").at("urgent").at("bad"), 3);
 }
 
-Test(operators, burnOfAnOutageIsWhatArithmeticSays)
+Test(operators, burnOfAnOutageMatchesCalculation)
 {
     // For six minutes of an hour a plain service answers every fourth call with 500. Callers' own mistakes come in between.
     const auto settings = Fixtures::NodeFixture().settings;
@@ -142,7 +142,7 @@
     cr_assert(alertOf(report.classes[3]) == BurnAlert::Ticket);
 }
 
-Test(operators, commandsTellWhatIsWrong)
+Test(operators, commandsReportErrors)
 {
     std::ostringstream out;
     std::ostringstream errors;
--- a/tests/main/testpack.cpp
+++ b/tests/main/testpack.cpp
@@ -16,19 +16,19 @@
 namespace
 {
 
-const std::string Good = "[adapters]\nlessons@1 = shop=accra, track=stable\n[adapters llama]\nkitchen@1 = track=stable\n"
-                         "[upstream e1]\naddress = 127.0.0.1:1\nzone = a\nbase_model = llama\nchecks = fencing, keys\n"
-                         "[upstream p1]\nkind = service\naddress = 127.0.0.1:2\n[service payments]\nupstreams = p1\n";
+const std::string ValidCatalog = "[adapters]\nlessons@1 = shop=accra, track=stable\n[adapters llama]\nkitchen@1 = track=stable\n"
+                                 "[upstream e1]\naddress = 127.0.0.1:1\nzone = a\nbase_model = llama\nchecks = fencing, keys\n"
+                                 "[upstream p1]\nkind = service\naddress = 127.0.0.1:2\n[service payments]\nupstreams = p1\n";
 
-class Folder
+class TemporaryDirectory
 {
 public:
-    Folder()
+    TemporaryDirectory()
     {
         std::string name = (std::filesystem::temp_directory_path() / "packXXXXXX").string();
         m_path = mkdtemp(name.data());
     }
-    ~Folder()
+    ~TemporaryDirectory()
     {
         std::filesystem::remove_all(m_path);
     }
@@ -59,9 +59,9 @@
 
 } // namespace
 
-Test(catalogini, aCatalogIsReadWhole)
+Test(catalogini, validCatalogIsParsed)
 {
-    const auto content = parseCatalogIni(Good, "c.ini");
+    const auto content = parseCatalogIni(ValidCatalog, "c.ini");
     cr_assert(content.isOk());
     cr_assert(content.value().adapters[1].baseModel == BaseModelId("llama"));
     cr_assert(content.value().upstreams[0].checksFencing && content.value().upstreams[0].checksKeys);
@@ -88,70 +88,70 @@
     cr_assert(hasError("[adapters]\na = x\n[upstream e1]\nslots = many\n", "c.ini:4:"));
 }
 
-Test(checkconfig, saysWhatItHoldsOrWhatIsWrong)
+Test(checkconfig, printsSummaryOrErrors)
 {
-    const Folder folder;
-    write(folder / "c.ini", Good);
+    const TemporaryDirectory directory;
+    write(directory / "c.ini", ValidCatalog);
     std::ostringstream out;
     std::ostringstream errors;
-    cr_assert_eq(checkConfig(folder / "c.ini", out, errors), 0);
+    cr_assert_eq(checkConfig(directory / "c.ini", out, errors), 0);
     cr_assert(out.str().find("good. adapters=2 upstreams=2 services=1") != std::string::npos);
-    cr_assert_eq(checkConfig(folder / "missing.ini", out, errors), 2);
+    cr_assert_eq(checkConfig(directory / "missing.ini", out, errors), 2);
     cr_assert(errors.str().find("missing.ini:0: cannot be read") != std::string::npos);
 }
 
-Test(pack, aChangeIsPublishedAsASmallDeltaWithTheNextVersion)
+Test(pack, changeIsPublishedAsSmallDeltaWithNextVersion)
 {
-    const Folder folder;
-    write(folder / "c.ini", Good);
+    const TemporaryDirectory directory;
+    write(directory / "c.ini", ValidCatalog);
     std::ostringstream out;
     std::ostringstream errors;
-    cr_assert_eq(packConfig({ folder / "c.ini", folder / "v", "" }, Time(7'000'000), out, errors), 0);
-    cr_assert_eq(headOf(folder / "v").version.value(), 7000);
-    write(folder / "c.ini", Good + "[adapters]\nkitchen@2 = track=canary\n");
-    cr_assert_eq(packConfig({ folder / "c.ini", folder / "v", folder / "v" }, Time(1), out, errors), 0);
-    const ConfigHead head = headOf(folder / "v");
+    cr_assert_eq(packConfig({ directory / "c.ini", directory / "v", "" }, Time(7'000'000), out, errors), 0);
+    cr_assert_eq(headOf(directory / "v").version.value(), 7000);
+    write(directory / "c.ini", ValidCatalog + "[adapters]\nkitchen@2 = track=canary\n");
+    cr_assert_eq(packConfig({ directory / "c.ini", directory / "v", directory / "v" }, Time(1), out, errors), 0);
+    const ConfigHead head = headOf(directory / "v");
     cr_assert_eq(head.version.value(), 7001);
     cr_assert_eq(head.baseVersion.value(), 7000);
-    cr_assert_lt(ValueDirectory(folder / "v").text(head.deltaHash).value().size(), 300);
-    const auto catalog = ValueDirectory(folder / "v").catalog().value();
+    cr_assert_lt(ValueDirectory(directory / "v").text(head.deltaHash).value().size(), 300);
+    const auto catalog = ValueDirectory(directory / "v").catalog().value();
     cr_assert(catalog->resolve("track=canary").value().name() == "kitchen@2");
     // Nothing changed: no new version.
-    cr_assert_eq(packConfig({ folder / "c.ini", folder / "v", folder / "v" }, Time(1), out, errors), 0);
-    cr_assert_eq(headOf(folder / "v").version.value(), 7001);
+    cr_assert_eq(packConfig({ directory / "c.ini", directory / "v", directory / "v" }, Time(1), out, errors), 0);
+    cr_assert_eq(headOf(directory / "v").version.value(), 7001);
 }
 
-Test(pack, aLongHistoryGetsANewBaseThatNodesCanWorkOut)
+Test(pack, longHistoryGetsNewBaseThatNodesCanRebuild)
 {
-    const Folder folder;
+    const TemporaryDirectory directory;
     std::ostringstream out;
     std::ostringstream errors;
-    std::string text = Good;
-    write(folder / "c.ini", text);
-    cr_assert_eq(packConfig({ folder / "c.ini", folder / "v", "" }, Time(1000), out, errors), 0);
+    std::string text = ValidCatalog;
+    write(directory / "c.ini", text);
+    cr_assert_eq(packConfig({ directory / "c.ini", directory / "v", "" }, Time(1000), out, errors), 0);
     for (int i = 0; i < 65; ++i) {
         text += "[adapters]\nmore" + std::to_string(i) + "@1 = track=x\n";
-        write(folder / "c.ini", text);
-        cr_assert_eq(packConfig({ folder / "c.ini", folder / "v", folder / "v" }, Time(1), out, errors), 0);
+        write(directory / "c.ini", text);
+        cr_assert_eq(packConfig({ directory / "c.ini", directory / "v", directory / "v" }, Time(1), out, errors), 0);
     }
-    const ConfigHead head = headOf(folder / "v");
+    const ConfigHead head = headOf(directory / "v");
     cr_assert_eq(head.baseVersion.value(), 66);
-    const auto catalog = ValueDirectory(folder / "v").catalog().value();
+    const auto catalog = ValueDirectory(directory / "v").catalog().value();
     ConfigStore store;
     store.activate(head, configBaseTexts(catalog->content()));
     cr_assert(store.find(head.baseHash).isOk());
     cr_assert_not(store.needsBase(head));
 }
 
-Test(pack, whatTheCheckRefusesIsNotPublished)
+Test(pack, invalidCatalogIsNotPublished)
 {
-    const Folder folder;
-    write(folder / "c.ini", "[service s]\nupstreams = x\n");
+    const TemporaryDirectory directory;
+    write(directory / "c.ini", "[service s]\nupstreams = x\n");
     std::ostringstream out;
     std::ostringstream errors;
-    cr_assert_eq(packConfig({ folder / "c.ini", folder / "v", "" }, Time(1), out, errors), 2);
-    cr_assert_not(ValueDirectory(folder / "v").hasHead());
-    write(folder / "c.ini", Good);
-    cr_assert_eq(packConfig({ folder / "c.ini", folder / "v", folder / "v" }, Time(1), out, errors), 2);
+    cr_assert_eq(packConfig({ directory / "c.ini", directory / "v", "" }, Time(1), out, errors), 2);
+    cr_assert_not(ValueDirectory(directory / "v").hasHead());
+    write(directory / "c.ini", ValidCatalog);
+    cr_assert_eq(packConfig({ directory / "c.ini", directory / "v", directory / "v" }, Time(1), out, errors), 2);
     cr_assert(errors.str().find("has no head value") != std::string::npos);
 }
--- a/tests/main/testsettings.cpp
+++ b/tests/main/testsettings.cpp
@@ -7,8 +7,9 @@
 namespace
 {
 
-const std::string Good = "[node]\nid = n1\nzone = a\n[platform]\nconfig_url = http://127.0.0.1:1\nvm_list_url = http://127.0.0.1:2\n"
-                         "[fleet]\nsecret = 0123456789abcdef\n";
+const std::string ValidSettings =
+    "[node]\nid = n1\nzone = a\n[platform]\nconfig_url = http://127.0.0.1:1\nvm_list_url = http://127.0.0.1:2\n"
+    "[fleet]\nsecret = 0123456789abcdef\n";
 
 bool hasError(const std::string &text, const std::string &part)
 {
@@ -18,9 +19,9 @@
 
 } // namespace
 
-Test(settings, defaultsFillWhatIsNotSet)
+Test(settings, unsetSettingsHaveDefaults)
 {
-    const auto settings = Settings::parse(Good, "n.ini");
+    const auto settings = Settings::parse(ValidSettings, "n.ini");
     cr_assert(settings.isOk());
     cr_assert(settings.value()->text("node.id") == "n1");
     cr_assert_eq(settings.value()->number("callers.port"), 8080);
@@ -28,8 +29,8 @@
 
 Test(settings, errorsNameFileLineAndFix)
 {
-    cr_assert(hasError(Good + "[callers]\nprot = 1\n", "n.ini:10: unknown setting 'prot'"));
-    cr_assert(hasError(Good + "[callers]\nport = 70000\n", "n.ini:10: 'port' must be a whole number from 0 to 65535"));
+    cr_assert(hasError(ValidSettings + "[callers]\nprot = 1\n", "n.ini:10: unknown setting 'prot'"));
+    cr_assert(hasError(ValidSettings + "[callers]\nport = 70000\n", "n.ini:10: 'port' must be a whole number from 0 to 65535"));
     cr_assert(hasError("[node]\nid = n1\n", "'zone' is missing; add it to [node]"));
-    cr_assert(hasError(Good + "nonsense\n", "n.ini:9: is neither"));
+    cr_assert(hasError(ValidSettings + "nonsense\n", "n.ini:9: is neither"));
 }
