--- a/main/catalogini.cpp
+++ b/main/catalogini.cpp
@@ -58,7 +58,7 @@
     CatalogContent m_content;
     std::map<AdapterKey, int> m_adapterLines;
     std::map<std::string, int> m_keyLines;
-    // Line of the section, by the position in m_content.
+    // Line numbers of the sections, indexed like the entries of m_content.
     std::vector<int> m_upstreamLines;
     std::vector<int> m_serviceLines;
 };
@@ -137,7 +137,7 @@
         }
     } else if (kind == ServiceSection) {
         if (pair.key != "upstreams") {
-            m_document.addError(pair.line, "unknown key '" + pair.key + "'; a service has 'upstreams' alone");
+            m_document.addError(pair.line, "unknown key '" + pair.key + "'; a service has only 'upstreams'");
             return;
         }
         for (ServiceSpec &spec : m_content.services) {
@@ -149,7 +149,7 @@
             }
         }
     } else if (pair.section.empty()) {
-        m_document.addError(pair.line, "'" + pair.key + "' stands before the first section; move it into one");
+        m_document.addError(pair.line, "'" + pair.key + "' is before the first section; move it into one");
     }
 }
 
--- a/main/catalogini.h
+++ b/main/catalogini.h
@@ -9,12 +9,12 @@
 {
 
 /**
- * Reads an operator's catalog (docs/operations/configuration.md); its version is unset. @p name stands for the file in errors.
- * Errors: ConfigInvalid; the detail has one line for each fault: file, line and the fix.
+ * Parses an operator's catalog (docs/operations/configuration.md); the version stays unset. @p name is the file name in error messages.
+ * Errors: ConfigInvalid; the detail has one line per error: file, line and the fix.
  */
 Result<CatalogContent> parseCatalogIni(const std::string &text, const std::string &name);
 
-/** The same from a file. */
+/** Like parseCatalogIni(), for the file at @p path. */
 Result<CatalogContent> loadCatalogIni(const std::string &path);
 
 } // namespace ApricotStep
--- a/main/errorspage.h
+++ b/main/errorspage.h
@@ -5,7 +5,7 @@
 namespace ApricotStep
 {
 
-/** The closed table of errors as a Markdown page (docs/ERRORS.md). */
+/** Returns the table of all errors as a Markdown page (docs/ERRORS.md). */
 std::string errorsPage();
 
 } // namespace ApricotStep
--- a/main/inidocument.cpp
+++ b/main/inidocument.cpp
@@ -11,16 +11,17 @@
 namespace
 {
 
-// inih cuts longer names off without a word; the adapter under a name that was cut would be another one.
+// inih silently truncates longer names, and a truncated name would identify another adapter.
 constexpr std::size_t MaxNameLength = 49;
 
-// inih does not tell the handler its line, but it reads line by line and calls the handler before the next: counting reads is exact.
+// inih does not pass the line number to the handler, but it calls the handler before it reads the next line, so the count of lines read so
+// far is the line number.
 struct Reader
 {
     std::istringstream input;
     IniDocument document;
 
-    // What of the line inih would cut off; empty when it is good.
+    // Returns an error message if inih would truncate a part of the line, else an empty string.
     std::string checkLine(const std::string &line, std::size_t size) const;
 };
 
--- a/main/inidocument.h
+++ b/main/inidocument.h
@@ -6,7 +6,7 @@
 namespace ApricotStep
 {
 
-/** `key = value` with the place where it stands. */
+/** A `key = value` pair with its section and line number. */
 struct IniPair
 {
     std::string section;
@@ -21,20 +21,20 @@
     int line = 0;
 };
 
-/** The content of an INI file in its order, and everything in it that cannot be read. */
+/** The content of an INI file in the order of the file, and the errors in it. */
 struct IniDocument
 {
     std::string name;
     std::vector<IniSection> sections;
     std::vector<IniPair> pairs;
-    /** One line a fault: file, line and the fix. */
+    /** One line per error: file, line and the fix. */
     std::string errors;
     int lineCount = 0;
 
     void addError(int line, const std::string &what);
 };
 
-/** Reads @p text; @p name stands for the file in faults. */
+/** Parses @p text; @p name is the file name in error messages. */
 IniDocument parseIni(const std::string &text, const std::string &name);
 
 } // namespace ApricotStep
--- a/main/main.cpp
+++ b/main/main.cpp
@@ -28,14 +28,14 @@
         return UsageExit;
     }
     startLog(settings.value()->text("log.level"), settings.value()->text("log.format"));
-    // Blocked before any thread starts, so that only the wait below takes them.
+    // Blocked before any thread starts, so that only sigwait() below receives them.
     sigset_t signals;
     sigemptyset(&signals);
     sigaddset(&signals, SIGTERM);
     sigaddset(&signals, SIGINT);
     sigaddset(&signals, SIGHUP);
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-    std::signal(SIGPIPE, SIG_IGN); // NOLINT(cert-err33-c): a caller that left must not end the node
+    std::signal(SIGPIPE, SIG_IGN); // NOLINT(cert-err33-c): writing to a closed connection must not end the process
 
     auto node = Node::start(settings.value());
     if (!node.isOk()) {
@@ -64,35 +64,37 @@
     auto *node = app.add_subcommand("node", "Run a node.");
     node->add_option("--settings", settingsPath, "INI file with the settings below.")->required();
     node->footer(settingsHelp());
-    auto *entry = app.add_subcommand("entry", "Run an entry node on the users' platform, which names the settings in the environment.");
+    auto *entry = app.add_subcommand(
+        "entry", "Run an entry node on the users' platform, which passes the path of the settings file in the environment.");
     TraceOptions tracing;
-    auto *trace = app.add_subcommand("trace", "Print the story of one request from the logs of entry nodes.");
+    auto *trace = app.add_subcommand("trace", "Print the events of one request from the logs of entry nodes.");
     trace->add_option("request", tracing.request, "The caller's request id.")->required();
     trace->add_option("files", tracing.files, "Log files of any number of nodes.")->required();
     trace->add_flag("--json", tracing.isJson, "Print the lines as they were written.");
     auto *errors = app.add_subcommand("errors-page", "Print docs/ERRORS.md.");
     std::string catalogPath;
-    auto *check = app.add_subcommand("check-config", "Check a catalog INI; all faults at once.");
+    auto *check = app.add_subcommand("check-config", "Check a catalog INI file and print all its errors.");
     check->add_option("catalog", catalogPath, "The operator's catalog.")->required();
     PackOptions packing;
-    auto *pack = app.add_subcommand("pack", "Make the values to publish of a catalog INI.");
+    auto *pack = app.add_subcommand("pack", "Build the configuration values to publish from a catalog INI file.");
     pack->add_option("--in", packing.in, "The operator's catalog.")->required();
-    pack->add_option("--out", packing.out, "Directory for the values; a file each, named as the service is to hand it out.")->required();
+    pack->add_option("--out", packing.out, "Directory for the values: one file each, named as the configuration service must serve it.")
+        ->required();
     pack->add_option("--previous", packing.previous, "Directory of the last publication; may be the same as --out.");
     OperatorQuery query;
-    auto *burn = app.add_subcommand("burn", "Show how fast the error budgets go, by class.");
+    auto *burn = app.add_subcommand("burn", "Show the burn rates of the error budgets by class.");
     burn->add_option("--node", query.node, "host:port of a node's operator port.")->required();
-    burn->add_flag("--all", query.isForAllNodes, "Over all nodes, asked by that one.");
+    burn->add_flag("--all", query.isForAllNodes, "Sum over all nodes, which that node queries.");
     burn->add_flag("--json", query.isJson, "Print JSON.");
     burn->add_option("--html", query.htmlFile, "Write a page with plots to this file.");
-    auto *status = app.add_subcommand("status", "Show nodes, engines and the configuration in force.");
+    auto *status = app.add_subcommand("status", "Show nodes, engines and the active configuration.");
     status->add_option("--node", query.node, "host:port of a node's operator port.")->required();
-    status->add_flag("--all", query.isForAllNodes, "Of all nodes, asked by that one.");
+    status->add_flag("--all", query.isForAllNodes, "Show all nodes, which that node queries.");
     status->add_flag("--json", query.isJson, "Print JSON.");
     std::string selector;
-    auto *address = app.add_subcommand("address", "Show what a caller would be told about a model.");
+    auto *address = app.add_subcommand("address", "Show the addresses that a caller would get for a model.");
     address->add_option("--node", query.node, "host:port of a node's caller port.")->required();
-    address->add_option("--model", selector, "As a request names it.")->required();
+    address->add_option("--model", selector, "Selector of the model, as in a request.")->required();
     address->add_flag("--json", query.isJson, "Print JSON.");
     auto *page = app.add_subcommand("settings-page", "Print docs/SETTINGS.md.");
 
--- a/main/packcommand.cpp
+++ b/main/packcommand.cpp
@@ -15,7 +15,7 @@
 {
 
 constexpr int ErrorExit = 2;
-// A starting node fetches the changes after the base one by one; this many take it well under a second at some milliseconds each.
+// A starting node fetches the changes after the base one by one; at a few milliseconds each, 64 of them take well under a second.
 constexpr std::size_t MaxChangesAfterBase = 64;
 constexpr std::int64_t MillisecondsPerSecond = 1000;
 
@@ -64,7 +64,7 @@
 {
     const std::string text = configDeltaText({ {}, previous, change });
     if (text.size() > MaxConfigValueBytes) {
-        head.deltaHash.clear(); // Too large for one value: all nodes take the new base.
+        head.deltaHash.clear(); // Too large for one value, so all nodes load the new base.
         return true;
     }
     head.deltaHash = sha256Hex(text);
@@ -72,7 +72,7 @@
     return m_to.write(head.deltaHash, text);
 }
 
-// Last of all: whoever reads the head finds everything that it names.
+// Written last, so that every reader of the head finds all values that it names.
 Result<bool> Packer::writeHead(const ConfigHead &head)
 {
     const std::string text = configHeadText(head);
@@ -161,7 +161,7 @@
         return ErrorExit;
     }
     if (options.previous.empty() && ValueDirectory(options.out).hasHead()) {
-        // A first publication over an older one would cut the history off, and each node would fetch the whole catalog again.
+        // A first publication over an existing one would discard the history, and each node would fetch the whole catalog again.
         errors << options.out << ":0: holds a publication already; add --previous " << options.out << "\n";
         return ErrorExit;
     }
--- a/main/rpcsettings.h
+++ b/main/rpcsettings.h
@@ -6,7 +6,7 @@
 namespace ApricotStep
 {
 
-/** Node RPC as the settings say; reads the TLS files. Errors: SettingsInvalid. */
+/** Returns the settings of node RPC with the contents of the TLS files. Errors: SettingsInvalid. */
 Result<NodeRpcSettings> rpcSettings(const Settings &settings);
 
 } // namespace ApricotStep
--- a/main/settings.cpp
+++ b/main/settings.cpp
@@ -35,7 +35,7 @@
     return std::string(spec.section) + '.' + std::string(spec.key);
 }
 
-// The pairs by name. Unknown and repeated ones become faults.
+// Returns the pairs by name. Unknown and repeated settings are added to the errors.
 std::map<std::string, IniPair, std::less<>> indexPairs(IniDocument &document)
 {
     std::map<std::string, IniPair, std::less<>> pairsByName;
@@ -51,7 +51,7 @@
     return pairsByName;
 }
 
-// Empty when the value is good, else what to change.
+// Returns an error message, or an empty string if the value is valid.
 std::string checkValue(const SettingSpec &spec, const std::string &value)
 {
     const std::string name = "'" + std::string(spec.key) + "'";
@@ -158,7 +158,7 @@
 {
     const auto at = d->values.find(name);
     if (at == d->values.end()) {
-        std::cerr << "settings: '" << name << "' is not in the table.\n";
+        std::cerr << "settings: '" << name << "' is not a known setting.\n";
         std::abort();
     }
     return at->second;
--- a/main/settings.h
+++ b/main/settings.h
@@ -20,14 +20,14 @@
     Flag,
 };
 
-/** One row of the table of settings: the check, --help and docs/SETTINGS.md all come from it. */
+/** One row of the table of settings, which the check, --help and docs/SETTINGS.md are based on. */
 struct SettingSpec
 {
     std::string_view section;
     std::string_view key;
     SettingType type = SettingType::Text;
     std::string_view unit;
-    /** For Number and Milliseconds. */
+    /** The range of a Number or Milliseconds. */
     std::int64_t min = 0;
     std::int64_t max = 0;
     std::string_view defaultValue;
@@ -37,17 +37,17 @@
 
 const std::vector<SettingSpec> &settingTable();
 
-/** The checked settings of a process. */
+/** The validated settings of a process. */
 class Settings
 {
 public:
-    /** Reads an INI file. Errors: SettingsInvalid; the detail has one line a fault: file, line and the fix. */
+    /** Reads an INI file. Errors: SettingsInvalid; the detail has one line per error: file, line and the fix. */
     static Result<std::shared_ptr<const Settings>> load(const std::string &path);
-    /** The same from a text; @p name stands for the file in errors. */
+    /** Like load(), for the content of a file; @p name is the file name in error messages. */
     static Result<std::shared_ptr<const Settings>> parse(const std::string &text, const std::string &name);
     ~Settings();
 
-    // @p name is "section.key" of the table; asking for one that is not there is a programming error and ends the process.
+    // The getters take "section.key" from the table; another name is a programming error and aborts the process.
     const std::string &text(std::string_view name) const;
     std::int64_t number(std::string_view name) const;
     Duration duration(std::string_view name) const;
--- a/main/settingtable.cpp
+++ b/main/settingtable.cpp
@@ -67,7 +67,7 @@
         milliseconds(
             "rpc", "call_timeout_ms", 10, 600'000, "3000", "Longest short call to another node; forwards have the caller's limits."),
         milliseconds("rpc", "ping_timeout_ms", 10, 60'000, "2000",
-            "A node that serves a forwarded request is lost when it answers two pings in a row not within this."),
+            "A node that serves a forwarded request counts as lost when it answers two pings in a row later than this or not at all."),
         required("platform", "config_url", "Base URL of the configuration service."),
         required("platform", "vm_list_url", "URL of the VM list."),
         milliseconds("platform", "vm_list_interval_ms", 100, 60'000, "1000", "How often the VM list is read."),
@@ -78,22 +78,24 @@
         number("membership", "port", "", 0, MaxPort, "0",
             "UDP port for membership datagrams; 0 picks a free one, which only suits nodes whose VM list is written afterwards."),
         text("membership", "advertise", "", "IP number under which other nodes reach this one; empty means membership.address."),
-        milliseconds("membership", "probe_interval_ms", 50, 60'000, "500", "Between two probes of this node."),
+        milliseconds("membership", "probe_interval_ms", 50, 60'000, "500", "Time between two membership probes that this node sends."),
         milliseconds("membership", "probe_timeout_ms", 10, 60'000, "200",
-            "For the direct answer to a probe; above the longest round trip between nodes."),
+            "Time limit for the direct answer to a probe; set it above the longest round trip between nodes."),
         milliseconds(
             "membership", "suspicion_min_ms", 100, 600'000, "1500", "A member that several nodes suspect has this long to refute."),
         milliseconds("membership", "suspicion_max_ms", 100, 600'000, "4000", "A member that one node suspects has this long to refute."),
         milliseconds("membership", "pause_gap_ms", 200, 60'000, "2000",
-            "A process that stood still for this long refreshes its view before it takes decisions that rest on it."),
-        milliseconds("ownership", "poll_interval_ms", 100, 600'000, "1000", "Between two load reports of an engine that this node owns."),
+            "A process that was paused for this long refreshes its membership view before it bases decisions on it."),
+        milliseconds("ownership", "poll_interval_ms", 100, 600'000, "1000",
+            "Time between two polls of the load report of an engine that this node owns."),
         milliseconds("ownership", "report_lag_ms", 0, 600'000, "1000", "How old the content of an engine's load report may be at most."),
         milliseconds("ownership", "lease_ms", 500, 3'600'000, "4000",
-            "A load report that shows this node's fencing token as the highest lets it act for this long; at least lag + 2 polls is "
-            "taken."),
+            "A load report that shows this node's fencing token as the highest lets it act for this long; the value in effect is at "
+            "least report_lag_ms + 2 * poll_interval_ms."),
         milliseconds("ownership", "dispatch_delay_ms", 0, 600'000, "5000",
             "An engine closes a connection on which no request arrives for this long; bounds how late a paused node's request can arrive."),
-        milliseconds("ownership", "clock_margin_ms", 0, 60'000, "1000", "How far the clocks of two nodes run apart over a takeover."),
+        milliseconds(
+            "ownership", "clock_margin_ms", 0, 60'000, "1000", "How far the clocks of two nodes may drift apart during a takeover."),
         milliseconds("deadlines", "urgent_ms", 10, DayMs, "10000", "Time to the first token of urgent requests, unless the caller says."),
         milliseconds(
             "deadlines", "standard_ms", 10, DayMs, "60000", "Time to the first token of standard requests, unless the caller says."),
--- a/main/valuedirectory.cpp
+++ b/main/valuedirectory.cpp
@@ -93,7 +93,7 @@
     std::error_code error;
     std::filesystem::create_directories(m_path, error);
     const std::string filePath = m_path + "/" + name;
-    // Written aside and renamed, so that whoever publishes the directory never sees half a value.
+    // Written to a temporary file and renamed, so that a service that serves the directory never sees a partial value.
     {
         std::ofstream file(filePath + ".new", std::ios::binary | std::ios::trunc);
         file << text;
--- a/main/valuedirectory.h
+++ b/main/valuedirectory.h
@@ -15,13 +15,13 @@
 public:
     explicit ValueDirectory(std::string path);
 
-    /** Whether there is a head. */
+    /** Returns whether the directory has a head. */
     bool hasHead() const;
     /** Errors: NotFound, StaleConfig, ConfigInvalid. */
     Result<ConfigValue> read(ConfigValueKind kind, const std::string &hash) const;
-    /** The configuration that the head names. Errors: as of read(). */
+    /** The configuration that the head describes. Errors: as for read(). */
     Result<std::shared_ptr<const Catalog>> catalog() const;
-    /** The hash of every value that the head needs. Errors: as of read(). */
+    /** The hashes of all values that the head needs. Errors: as for read(). */
     Result<std::vector<std::string>> names() const;
 
     /** Errors: Internal when the file cannot be written. */
