--- a/main/configreader.cpp
+++ b/main/configreader.cpp
@@ -21,16 +21,16 @@
 constexpr int OkStatus = 200;
 constexpr int NotFoundStatus = 404;
 constexpr absl::Duration TickInterval = absl::Milliseconds(50);
-// A base of a few hundred adapters; changes stay far below, so that they do not pay for giving memory back.
+// The size of a base with a few hundred adapters. Changes are far smaller, so that activating one rarely costs a trim.
 constexpr std::size_t TrimThresholdBytes = 256U << 10U;
 
-// What the worker has to take, in the order of its coming.
 struct FetchedText
 {
     FetchValue fetch;
     Result<std::string> text;
 };
 
+// Inputs of the worker thread, which processes them in the order of their arrival.
 using Input = std::variant<FetchedText, ConfigFact>;
 
 ConfigSyncSettings syncSettings(const Settings &settings)
@@ -71,7 +71,7 @@
     Announcer announce;
     std::thread worker;
 
-    // Of the worker alone.
+    // Used by the worker thread only.
     ConfigSync sync;
     std::shared_ptr<const FleetView> lastFleet;
     std::size_t bytesFetched = 0;
@@ -115,8 +115,8 @@
     }
 }
 
-// Reading a base leaves many small blocks free between those that stay, and the allocator keeps the pages: with 130,000 adapters the node
-// held several times what the catalog takes, which shows as resident memory over the limit. A base is read seldom, so giving back is cheap.
+// Reading a base leaves many small free blocks between those that stay in use, so the allocator keeps their pages: with 130,000 adapters,
+// resident memory is several times the size of the catalog and exceeds its limit. Bases are read rarely, so trimming costs little.
 void ConfigReader::Private::trimMemory()
 {
     if (!hasActivated || bytesFetched < TrimThresholdBytes) {
@@ -127,7 +127,7 @@
     malloc_trim(0);
 }
 
-// False when the reader stops.
+// Returns false when the reader is stopping.
 bool ConfigReader::Private::waitForInputs(std::vector<Input> &batch)
 {
     const absl::MutexLock lock(&mutex);
@@ -244,7 +244,7 @@
         status.valueCount = store.count();
         status.valueBytes = store.bytes();
     }
-    log->info("Configuration {} is in force. adapters={} upstreams={}", version.catalog->version().value(), version.catalog->adapterCount(),
+    log->info("Activated configuration {}. adapters={} upstreams={}", version.catalog->version().value(), version.catalog->adapterCount(),
         version.catalog->upstreams().size());
     if (announce) {
         announce({ NodeId(settings.text("node.id")), version.catalog->version() });
@@ -255,7 +255,7 @@
 {
     const std::string problemName(configProblemName(report.problem));
     metrics.configRefused(problemName);
-    log->error("Configuration {} is in trouble. reason={} detail='{}'", report.version.value(), problemName, report.detail);
+    log->error("Problem with configuration {}. reason={} detail='{}'", report.version.value(), problemName, report.detail);
     const absl::MutexLock lock(&mutex);
     status.problem = "version " + std::to_string(report.version.value()) + ", " + problemName + ": " + report.detail;
 }
--- a/main/configreader.h
+++ b/main/configreader.h
@@ -17,14 +17,14 @@
 namespace ApricotStep
 {
 
-/** What /status shows of the configuration. */
+/** The state of the configuration that /status shows. */
 struct ConfigStatus
 {
     std::uint64_t version = 0;
     bool isWatcher = false;
-    /** The newest trouble, as a sentence; empty when there was none. */
+    /** Description of the latest problem; empty if there was none. */
     std::string problem;
-    /** Values held for peers. */
+    /** Configuration values that peers can fetch from this node. */
     std::size_t valueCount = 0;
     std::size_t valueBytes = 0;
 };
@@ -33,15 +33,15 @@
 inline constexpr std::string_view ConfigValuePrefix = "config/";
 
 /**
- * Keeps the configuration in force up to date, and hands its values to peers. Thread-safe.
+ * Keeps the active configuration up to date and serves its values to peers. Thread-safe.
  *
- * Reading a base of 130,000 adapters or working out its pages takes a good part of a second. On the thread that carries answers to
- * callers every stream would stand still meanwhile, so all of it happens on one thread of the reader's own.
+ * Parsing a base of 130,000 adapters or computing its pages takes a large part of a second. On the thread that carries answers to callers
+ * this would stall every stream, so the reader has a thread of its own.
  */
 class ConfigReader
 {
 public:
-    /** Tells the other nodes; from any thread. */
+    /** Announces an activated version to the other nodes; called from any thread. */
     using Announcer = std::function<void(const ConfigFact &)>;
 
     /** The references must outlive the reader and the client's calls. */
@@ -49,14 +49,14 @@
         const SharedSnapshot<FleetView> &fleet);
     ~ConfigReader();
 
-    /** Lets the reader ask peers and tell them; without it the service alone is asked. Before start(); @p peers must outlive stop(). */
+    /** Lets the reader use peers; without this call it only uses the service. Call it before start(). @p peers must outlive stop(). */
     void connect(Peers &peers, Announcer announce);
     void start();
-    /** Ends the thread. Answers that come later are dropped. */
+    /** Ends the thread. Answers that arrive later are dropped. */
     void stop();
-    /** A peer told of a version. */
+    /** To be called when a peer announces a version. */
     void onVersionAnnounced(const ConfigFact &fact);
-    /** The value under `config/head` or `config/HASH`, for a peer. Errors: NotFound. */
+    /** Returns the value named `config/head` or `config/HASH`, for a peer. Errors: NotFound. */
     Result<std::string> value(const std::string &name) const;
     ConfigStatus status() const;
 
--- a/main/configstore.cpp
+++ b/main/configstore.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-// Changes before the base are kept for nodes that lag; about half an hour's worth at 11,000 a day.
+// Changes older than the base are kept for lagging nodes: about half an hour of changes at 11,000 a day.
 constexpr std::size_t MaxOldChanges = 256;
 
 } // namespace
@@ -38,13 +38,13 @@
     dropOldChanges(head.baseVersion);
 }
 
-// When the operator's tool makes a new base, a running node gets there by a change and has no need of the pages, but a node that starts
-// while the service is down does. Fetching megabytes on every node for that would cost more than all changes of the day, so they are
-// worked out from the snapshot.
+// When the operator publishes a new base, a running node reaches it by applying a change and does not need its pages, but a node that
+// starts while the service is down does. Fetching megabytes on every node for that case would cost more than all changes of a day, so the
+// pages are computed from the snapshot.
 void ConfigStore::replaceBase(const ConfigHead &head, const ConfigBaseTexts &base)
 {
     if (sha256Hex(base.index) != head.baseHash) {
-        return; // Packed by another release; what was fetched stays.
+        return; // Packed by another release; keep the values that were fetched.
     }
     absl::flat_hash_map<std::string, std::string> kept;
     for (const auto &[version, hash] : m_changes) {
@@ -73,7 +73,7 @@
     }
     const auto at = m_values.find(name);
     if (at == m_values.end()) {
-        return Error { ErrorKind::NotFound, "no configuration value '" + name + "' here" };
+        return Error { ErrorKind::NotFound, "no configuration value '" + name + "' on this node" };
     }
     return at->second;
 }
--- a/main/configstore.h
+++ b/main/configstore.h
@@ -15,17 +15,16 @@
 {
 
 /**
- * The texts of configuration values that a node can hand to its peers: the head and base in force, and the newest changes. Not
- * thread-safe.
+ * The texts of configuration values that a node serves to its peers: the active head and base, and the newest changes. Not thread-safe.
  */
 class ConfigStore
 {
 public:
-    /** Keeps a value that was fetched; it is dropped when a head in force no longer needs it. */
+    /** Stores a fetched value until the active head no longer needs it. */
     void put(const ConfigValue &value, const std::string &text);
-    /** Whether the base of @p head is still to be worked out. */
+    /** Returns whether the base of @p head has not been computed yet. */
     bool needsBase(const ConfigHead &head) const;
-    /** @p head is in force now. @p base: its base, where it was worked out; else what was fetched stays. */
+    /** Makes @p head the active head. @p base: its base, if it was computed; otherwise the fetched values stay. */
     void activate(const ConfigHead &head, const std::optional<ConfigBaseTexts> &base);
 
     /** @p name: `head` or a hash. Errors: NotFound. */
@@ -40,7 +39,7 @@
     std::string m_head;
     std::string m_baseHash;
     absl::flat_hash_map<std::string, std::string> m_values;
-    // Changes by the version that they lead to.
+    // Hashes of changes by the version that they lead to.
     std::multimap<ConfigVersion, std::string> m_changes;
 };
 
