--- a/main/burnreport.cpp
+++ b/main/burnreport.cpp
@@ -74,7 +74,7 @@
     return burnClass;
 }
 
-// The burn rate minute by minute as a line over six hours; its scale ends at the highest rate, and at 1 at least.
+// Plots the burn rate of each minute over six hours. The y axis ends at the highest rate, but never below 1.
 std::string plotSvg(const BurnClass &burnClass)
 {
     constexpr double Width = 720;
@@ -135,7 +135,7 @@
 {
     if (deployment != other.deployment) {
         return Error { ErrorKind::BadRequest,
-            "node " + joinNames(other.nodes) + " is of deployment '" + other.deployment + "', not '" + deployment + "'" };
+            "node " + joinNames(other.nodes) + " belongs to deployment '" + other.deployment + "', not '" + deployment + "'" };
     }
     for (std::size_t i = 0; i < classes.size(); ++i) {
         BurnClass &mine = classes[i];
@@ -143,7 +143,7 @@
         if (mine.objective.target != theirs.objective.target || mine.objective.limit != theirs.objective.limit
             || mine.minutes.size() != theirs.minutes.size()) {
             return Error { ErrorKind::BadRequest,
-                "node " + joinNames(other.nodes) + " has other objectives; set [objectives] alike on all nodes" };
+                "node " + joinNames(other.nodes) + " has different objectives; set [objectives] alike on all nodes" };
         }
     }
     for (std::size_t i = 0; i < classes.size(); ++i) {
--- a/main/burnreport.h
+++ b/main/burnreport.h
@@ -11,39 +11,39 @@
 namespace ApricotStep
 {
 
-/** One class in a report, over one node or summed over several. */
+/** The events of one service class, of one node or summed over several nodes. */
 struct BurnClass
 {
     Objective objective;
-    /** Minute by minute, the oldest first; the last is the current one. */
+    /** Counts of each minute, oldest first; the last one is the current minute. */
     std::vector<EventCounts> minutes;
 
     EventCounts window(std::size_t count) const;
     double burn(std::size_t minuteCount) const;
-    /** Share of the error budget of the last six hours that is left; negative when overspent. */
+    /** Remaining share of the error budget of the last six hours; negative when overspent. */
     double budgetLeft() const;
 };
 
 enum class BurnAlert {
     None,
-    /** The six-hour budget goes in about six times its due speed over 30 min and 6 h. */
+    /** The burn rate is above 6 over both 30 min and 6 h. */
     Ticket,
-    /** At more than 14.4 times its due speed over 5 min and 1 h: 2 % of a 30-day budget in an hour. */
+    /** The burn rate is above 14.4 over both 5 min and 1 h: that spends 2 % of a 30-day budget in an hour. */
     Page,
 };
 
 BurnAlert alertOf(const BurnClass &burnClass);
 
-/** Service-level burn by class, as `apricotstep burn` shows it. */
+/** Burn rates of the error budgets by service class, as `apricotstep burn` shows them. */
 struct BurnReport
 {
     std::string deployment;
     std::vector<std::string> nodes;
-    /** Nodes that did not answer; their events are missing here. */
+    /** Nodes whose events are not included: they did not answer, or their report could not be added. */
     std::vector<std::string> missing;
     std::array<BurnClass, ServiceClassCount> classes;
 
-    /** Adds the counts of @p other, which must have the same objectives. Errors: BadRequest when it has not, or another deployment. */
+    /** Adds the counts of @p other. Errors: BadRequest if its deployment or its objectives differ. */
     Result<bool> add(const BurnReport &other);
 };
 
@@ -53,7 +53,7 @@
 /** Errors: BadRequest. */
 Result<BurnReport> parseBurnJson(std::string_view text);
 std::string burnText(const BurnReport &report);
-/** One page with plots that needs nothing else. */
+/** A self-contained HTML page with plots. */
 std::string burnHtml(const BurnReport &report);
 
 } // namespace ApricotStep
--- a/main/log.h
+++ b/main/log.h
@@ -10,10 +10,10 @@
 
 using Logger = std::shared_ptr<spdlog::logger>;
 
-/** Sets up logs for the process. @p level: debug, info, warn or error; @p format: text or json. */
+/** Sets up logging for the process. @p level: debug, info, warn or error; @p format: text or json. */
 void startLog(const std::string &level, const std::string &format);
 
-/** The log of one part; each of its lines begins with "part: ". */
+/** Returns the logger of one component; each of its lines contains the name @p part. */
 Logger componentLogger(const std::string &part);
 
 } // namespace ApricotStep
--- a/main/logformat.h
+++ b/main/logformat.h
@@ -10,9 +10,9 @@
 /**
  * Writes each log message as one line of JSON.
  *
- * A pattern that puts the message between quotes writes broken JSON as soon as a message holds a quote, a backslash or a line break, such
- * as the detail of an upstream's error; the log collector then drops just the lines about faults. So the line is made by a JSON library.
- * Bytes that are not UTF-8 become U+FFFD.
+ * The line is built by a JSON library: a format pattern that puts the message between quotes would write invalid JSON if a message contains
+ * a quote, a backslash or a line break, such as the detail of an upstream's error, and the log collector would drop exactly the lines about
+ * errors. Bytes that are not UTF-8 become U+FFFD.
  */
 class JsonLogFormatter final : public spdlog::formatter
 {
--- a/main/logratelimiter.h
+++ b/main/logratelimiter.h
@@ -14,18 +14,18 @@
 {
 
 /**
- * Bounds how often lines of one sort are written.
+ * Limits how many lines of one category are logged per second.
  *
- * Answers the load of a node that refuses most of what arrives, hundreds of requests a second: with one line each, the disk and the lock of
- * the log become what callers wait for, and the line that names the cause is lost among the repeats. Ten lines a second show a person that
- * and what repeats; the count of the lines left out keeps the sums right. Thread-safe.
+ * A node can refuse hundreds of requests a second. With one line for each, callers would wait for the disk and the lock of the log, and the
+ * line that names the cause would be lost among the repeats. Ten lines a second are enough for a person to see what repeats, and the count
+ * of suppressed lines keeps the totals correct. Thread-safe.
  */
 class LogRateLimiter
 {
 public:
     static constexpr std::uint64_t LinesPerSecond = 10;
 
-    /** Whether a line of @p category may be written at @p now: the lines of that sort left out since the last one, or nothing. */
+    /** Returns the number of lines of @p category suppressed since the last one written, or nothing if no line may be written at @p now. */
     std::optional<std::uint64_t> admit(const std::string &category, Time now);
 
 private:
--- a/main/metrics.cpp
+++ b/main/metrics.cpp
@@ -17,7 +17,8 @@
 
 constexpr int MinServerErrorStatus = 500;
 
-static_assert(static_cast<std::size_t>(ServiceClass::Service) == PriorityCount, "the classes of completions come first, in their order");
+static_assert(
+    static_cast<std::size_t>(ServiceClass::Service) == PriorityCount, "the service classes start with the priorities, in the same order");
 
 ServiceClass classOf(Priority priority)
 {
--- a/main/operatorcommands.cpp
+++ b/main/operatorcommands.cpp
@@ -43,7 +43,7 @@
     return safe;
 }
 
-/** Asks a node and waits. The exit code, and with 0 the body; with others the fault was printed. */
+/** Sends a request to a node and waits for the answer. Returns the exit code and, if that is 0, the body; else it has printed the error. */
 std::pair<int, std::string> fetchFromNode(const std::string &node, const std::string &target, std::ostream &errors)
 {
     if (!isHostPort(node)) {
@@ -158,7 +158,7 @@
         }
         return 0;
     } catch (const Json::exception &exception) {
-        errors << "node " << query.node << " gave no status: " << exception.what() << "\n";
+        errors << "node " << query.node << " returned an invalid status: " << exception.what() << "\n";
         return FailedExit;
     }
 }
@@ -186,7 +186,7 @@
         }
         return 0;
     } catch (const Json::exception &exception) {
-        errors << "node " << callerPort << " gave no address: " << exception.what() << "\n";
+        errors << "node " << callerPort << " returned an invalid address answer: " << exception.what() << "\n";
         return FailedExit;
     }
 }
--- a/main/operatorcommands.h
+++ b/main/operatorcommands.h
@@ -13,15 +13,15 @@
     std::string node;
     bool isForAllNodes = false;
     bool isJson = false;
-    /** For burn: file that takes the page; empty prints text. */
+    /** For burn: the HTML file to write; if empty, text is printed. */
     std::string htmlFile;
 };
 
-/** Shows service-level burn. Returns the exit code: 0, 1 when the node cannot be asked or the file not written, 2 for bad options. */
+/** Shows the burn rates. Returns the exit code: 0, 1 if the query fails or the file cannot be written, 2 for invalid options. */
 int showBurn(const OperatorQuery &query, std::ostream &out, std::ostream &errors);
-/** Shows nodes, engines and the configuration in force. Returns as showBurn(). */
+/** Shows nodes, engines and the active configuration. Exit codes as for showBurn(). */
 int showStatus(const OperatorQuery &query, std::ostream &out, std::ostream &errors);
-/** Shows what a caller of the node at @p callerPort (host:port) would be told about @p selector. Returns as showBurn(). */
+/** Shows the addresses that the node at @p callerPort (host:port) gives callers for @p selector. Exit codes as for showBurn(). */
 int showAddress(const std::string &callerPort, const std::string &selector, bool isJson, std::ostream &out, std::ostream &errors);
 
 } // namespace ApricotStep
--- a/main/operatorport.cpp
+++ b/main/operatorport.cpp
@@ -14,7 +14,7 @@
 
 constexpr const char *BurnTopic = "slo";
 constexpr const char *StatusTopic = "status";
-constexpr const char *UnreachableNode = "(a node of the VM list that does not live here)";
+constexpr const char *UnreachableNode = "(a node of the VM list that this node does not see alive)";
 constexpr double TargetDenominator = 10'000;
 
 using Json = nlohmann::json;
@@ -25,7 +25,7 @@
     return headers;
 }
 
-/** The answers of all nodes to one question; the last one to come in ends it. Thread-safe. */
+/** Collects the answers of several nodes to one query and calls back after the last one. Thread-safe. */
 class AnswerCollector
 {
 public:
@@ -46,7 +46,7 @@
                 return;
             }
         }
-        // Nobody adds any more, so the answers may be read without the lock.
+        // No thread adds answers any more, so they may be read without the lock.
         finish();
     }
 
@@ -162,7 +162,7 @@
     if (topic == StatusTopic) {
         return statusBody();
     }
-    return Error { ErrorKind::NotFound, "no topic " + topic };
+    return Error { ErrorKind::NotFound, "unknown topic " + topic };
 }
 
 void OperatorPort::respondBurnOfAllNodes(const std::shared_ptr<HttpExchange> &exchange) const
--- a/main/operatorport.h
+++ b/main/operatorport.h
@@ -17,13 +17,13 @@
 namespace ApricotStep
 {
 
-/** The part of node RPC under which nodes ask each other for what they show operators: "slo" or "status". */
+/** The part of node RPC for queries between operator ports; the message is the topic, "slo" or "status". */
 inline constexpr const char *OperatorPart = "operator";
 
-/** The objectives that `[objectives]` of the settings sets. */
+/** Returns the objectives from section `[objectives]` of the settings. */
 std::array<Objective, ServiceClassCount> objectivesOf(const Settings &settings);
 
-/** What the operator port shows; all must outlive it and the calls that it starts. */
+/** The sources of the operator port; all must outlive it and the calls that it starts. */
 struct OperatorParts
 {
     const Settings &settings;
@@ -48,7 +48,7 @@
     explicit OperatorPort(const OperatorParts &parts);
 
     void handle(const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) const;
-    /** Answers another node. @p topic: slo or status. Errors: NotFound. */
+    /** Answers the query of another node. @p topic: slo or status. Errors: NotFound. */
     Result<std::string> answerPeer(const std::string &topic) const;
 
 private:
