--- a/main/membershiprunner.cpp
+++ b/main/membershiprunner.cpp
@@ -69,7 +69,7 @@
             return;
         }
         actions = membership->handle(event, clock.now());
-        // Views are published under the lock: two threads could otherwise leave the older one in force.
+        // Views are published under the lock; otherwise one thread could overwrite the newer view of another with an older one.
         for (const MembershipAction &action : actions) {
             if (const auto *change = std::get_if<ViewChanged>(&action)) {
                 execute(*change);
@@ -89,7 +89,7 @@
 {
     const std::string bytes = encodeMemberDatagram(action.datagram, settings.text("fleet.secret"));
     if (bytes.size() > MaxMemberDatagramBytes) {
-        log->warn("A datagram of {} bytes is too long; shorten node ids and addresses.", bytes.size());
+        log->warn("Dropped a membership datagram of {} bytes, which is too long; shorten node ids and addresses.", bytes.size());
         return;
     }
     bytesSent += bytes.size();
@@ -99,7 +99,7 @@
 void MembershipRunner::Private::execute(const ViewChanged &action)
 {
     fleet.set(action.view);
-    log->info("The view has {} nodes, {} leaving nodes and {} leaving upstreams.", action.view->nodes.size(),
+    log->info("The membership view has changed: {} nodes, {} leaving nodes and {} leaving upstreams.", action.view->nodes.size(),
         action.view->leavingNodes.size(), action.view->leaving.size());
 }
 
--- a/main/membershiprunner.h
+++ b/main/membershiprunner.h
@@ -16,14 +16,14 @@
 namespace ApricotStep
 {
 
-/** Where others reach this node; known once its ports are open. */
+/** Addresses at which others reach this node; known once its ports are open. */
 struct NodeAddresses
 {
     std::string caller;
     std::string rpc;
 };
 
-/** Runs the membership of this node over UDP and publishes its view. Thread-safe. */
+/** Runs the membership protocol of this node over UDP and publishes its view. Thread-safe. */
 class MembershipRunner
 {
 public:
@@ -35,27 +35,27 @@
     ~MembershipRunner();
 
     std::uint16_t port() const;
-    /** Called for each rumour that is new to this node, its own included, from any thread; must not block. Only before start(). */
+    /** Adds a handler for rumours new to this node, its own included. Called from any thread; must not block. Only before start(). */
     void onRumour(RumourHandler handler);
-    /** Begins to take part. */
+    /** Joins the fleet. */
     void start(const NodeAddresses &addresses);
-    /** Lets time pass; every 20 to 100 ms. */
+    /** Runs the timers; to be called every 20 to 100 ms. */
     void tick();
     void onVmListRead(VmList list);
-    /** Tells the fleet. */
+    /** Spreads a rumour in the fleet. */
     void announce(Rumour rumour);
-    /** This node begins to shut down: from here on others give it no new work. */
+    /** Announces that this node is shutting down; other nodes then send it no new work. */
     void announceLeaving();
-    /** This node ends. */
+    /** Announces that this node leaves now. */
     void announceLeft();
 
-    /** See Membership::isFresh(); for this moment. */
+    /** Membership::isFresh() at the current time. */
     bool isFresh() const;
-    /** Low bits of this node's fencing tokens. */
+    /** The low bits of this node's fencing tokens. */
     std::uint16_t number() const;
     std::vector<Rumour> rumours() const;
     MembershipCounters counters() const;
-    /** Datagrams that were malformed, forged or too long. */
+    /** Number of received datagrams that were malformed, forged or too long. */
     std::uint64_t rejectedCount() const;
     std::uint64_t bytesSent() const;
     std::uint64_t bytesReceived() const;
--- a/main/node.cpp
+++ b/main/node.cpp
@@ -25,7 +25,7 @@
 constexpr auto DrainCheckInterval = std::chrono::milliseconds(50);
 constexpr int OperatorThreads = 1;
 
-// Later starts are greater, and two starts in one millisecond still differ.
+// A later start gets a greater incarnation; the random part distinguishes starts within the same millisecond.
 Incarnation newIncarnation(const Clock &clock)
 {
     constexpr std::uint64_t RandomRange = 1000;
@@ -49,7 +49,7 @@
 
 } // namespace
 
-// Members are destroyed from the last to the first: the ticker and the servers end before what they use.
+// Members are destroyed in reverse order: the ticker and the servers end before the objects that they use.
 struct Node::Private
 {
     Private(std::shared_ptr<const Settings> checked, std::unique_ptr<NodeRpc> nodeRpc)
@@ -80,9 +80,9 @@
         }
         config.stop();
         callers.reset();
-        operators.reset(); // Before what it asks other nodes through.
+        operators.reset(); // Before rpc, through which it queries other nodes.
         rpc.reset();
-        client.reset(); // Calls in progress end here, while what their callbacks use still stands.
+        client.reset(); // Ends the calls in flight while the objects that their callbacks use still exist.
         membership.reset();
     }
 
@@ -144,7 +144,7 @@
     return callers->activeCount() > 0 || rpc->servedCount() > 0 || services.activeCount() > 0;
 }
 
-// The successor tells the fleet, since this node may have ended before its own word has spread.
+// The successor announces the handover too, since the leaving node may end before its own announcement has spread.
 Result<std::string> Node::Private::acceptLedgerBatch(const std::string &bytes)
 {
     HandOffFact fact;
@@ -153,7 +153,7 @@
         return isComplete.error();
     }
     if (isComplete.value()) {
-        log->info("Took the one-time requests of {}.", fact.node.value());
+        log->info("Received the ledger of one-time requests from {}.", fact.node.value());
         membership->announce(fact);
     }
     return std::string();
@@ -166,10 +166,10 @@
     const auto candidates = view == nullptr ? std::vector<NodeView>() : successorsFor(NodeId(settings->text("node.id")), *view);
     const auto successor = handOverLedgers(*rpc, ledgers, candidates);
     if (!successor) {
-        log->warn("No node took the one-time requests; repeats of them will be answered with outcome_unknown.");
+        log->warn("No node accepted the ledger of one-time requests; retries of them will be answered with outcome_unknown.");
         return;
     }
-    log->info("Handed the one-time requests to {}.", successor->value());
+    log->info("Handed over the ledger of one-time requests to {}.", successor->value());
     for (const SealedLedger &ledger : ledgers) {
         membership->announce(HandOffFact { ledger.node, ledger.incarnation, *successor });
     }
@@ -269,9 +269,9 @@
     }
     const auto reloaded = d->tls->reload();
     if (reloaded.isOk()) {
-        d->log->info("The certificate was read again.");
+        d->log->info("Reloaded the TLS certificate.");
     } else {
-        d->log->error("The old certificate stays. {}", reloaded.error().detail);
+        d->log->error("Could not reload the TLS certificate; the previous one stays in use. {}", reloaded.error().detail);
     }
 }
 
@@ -292,10 +292,10 @@
     }
     d->handOver();
     while (d->isBusy()) {
-        std::this_thread::sleep_for(DrainCheckInterval); // Repeats that came meanwhile are being answered from the sealed ledger.
+        std::this_thread::sleep_for(DrainCheckInterval); // Retries that arrived meanwhile are answered from the sealed ledger.
     }
     d->membership->announceLeft();
-    d->log->info("Every request has its answer.");
+    d->log->info("All requests have been answered.");
 }
 
 } // namespace ApricotStep
--- a/main/node.h
+++ b/main/node.h
@@ -8,22 +8,22 @@
 namespace ApricotStep
 {
 
-/** One entry node: the caller port, the operator port and everything between them. */
+/** One entry node with its caller port, its operator port and the link to the other nodes. */
 class Node
 {
 public:
-    /** Opens the ports and begins to read the platform. Errors: SettingsInvalid. */
+    /** Opens the ports and starts reading the VM list and the configuration. Errors: SettingsInvalid. */
     static Result<std::unique_ptr<Node>> start(std::shared_ptr<const Settings> settings);
-    /** Ends at once; call drain() first for a graceful end. */
+    /** Stops at once; call drain() first for a graceful shutdown. */
     ~Node();
 
     std::uint16_t callerPort() const;
     std::uint16_t operatorPort() const;
     std::uint16_t membershipPort() const;
     std::uint16_t rpcPort() const;
-    /** Reads the certificate of the caller port again; on a fault the old one stays, and the log says so. */
+    /** Reloads the certificate of the caller port. On an error the previous one stays in use, and the error is logged. */
     void reload();
-    /** Takes no new work after the linger time, and returns when every request in progress has its whole answer. */
+    /** Accepts no new work after the linger time, and returns when every request in progress has been answered completely. */
     void drain();
 
 private:
--- a/main/platformreader.cpp
+++ b/main/platformreader.cpp
@@ -74,7 +74,7 @@
 {
     auto list = parseVmList(text);
     if (!list.isOk()) {
-        log->error("Refused a VM list. {}", list.error().detail);
+        log->error("Rejected an invalid VM list. {}", list.error().detail);
         return;
     }
     onVmList(std::move(list.value()));
--- a/main/platformreader.h
+++ b/main/platformreader.h
@@ -10,19 +10,19 @@
 namespace ApricotStep
 {
 
-/** Reads the platform's VM list at the interval of the settings. */
+/** Reads the platform's VM list at the configured interval. */
 class PlatformReader
 {
 public:
     /** Called with each VM list that was read, from the client's thread. */
     using VmListHandler = std::function<void(VmList)>;
 
-    /** Begins to read. The references must outlive the reader. */
+    /** The references must outlive the reader and the client's calls. */
     PlatformReader(const Settings &settings, HttpClient &client, const Clock &clock, VmListHandler onVmList);
-    /** Stops; no callback comes afterwards. */
+    /** Starts no further reads; a read in flight may still call the handler until the client is destroyed. */
     ~PlatformReader();
 
-    /** Starts a read that is due; every 20 to 100 ms. */
+    /** Starts a read when one is due; to be called every 20 to 100 ms. */
     void tick();
 
 private:
