--- a/tests/main/testburnreport.cpp
+++ b/tests/main/testburnreport.cpp
@@ -24,7 +24,7 @@
 
 Test(burnreport, sumOverNodesAddsEventsNotRates)
 {
-    // One busy healthy node and one small failing one. The mean of their burn rates would raise a false page.
+    // Averaging the burn rates of a busy healthy node and a failing node with little traffic would raise a false page.
     BurnReport all = report("n1", 0, 900);
     cr_assert(all.add(report("n2", 50, 50)).isOk());
     cr_assert_float_eq(all.classes[0].burn(5), 5.0, 1e-9);
--- a/tests/main/testlog.cpp
+++ b/tests/main/testlog.cpp
@@ -13,8 +13,8 @@
 
 Test(log, anyMessageIsOneValidJsonLine)
 {
-    // An upstream's error text holds quotes, line breaks or bytes that are no UTF-8, and goes into the log as a detail. With a line that is
-    // not JSON, the operator's log collector drops just the lines about the faults.
+    // The error text of an upstream is logged as a detail, and may contain quotes, line breaks or bytes that are not UTF-8. If the line
+    // were not valid JSON, the operator's log collector would drop exactly the lines about errors.
     std::ostringstream out;
     spdlog::logger logger("part \"x\"", std::make_shared<spdlog::sinks::ostream_sink_mt>(out));
     logger.set_formatter(std::make_unique<JsonLogFormatter>());
@@ -34,7 +34,7 @@
 
 Test(log, repeatedLinesAreRateLimitedAndCounted)
 {
-    // A node that is not ready yet refuses hundreds of requests a second; each wrote a line, and the cause was lost among them.
+    // A node that is not ready yet refuses hundreds of requests a second. With a line for each, the cause would be lost among them.
     LogRateLimiter limit;
     const Time start(5'000);
     std::uint64_t written = 0;
@@ -42,9 +42,9 @@
         written += limit.admit("not_ready", start + Duration(i)).has_value() ? 1 : 0;
     }
     cr_assert_eq(written, LogRateLimiter::LinesPerSecond);
-    cr_assert(limit.admit("overloaded", start) == 0U, "another sort has its own bound");
+    cr_assert(limit.admit("overloaded", start) == 0U, "another category has its own limit");
     const auto next = limit.admit("not_ready", start + Duration(1000));
     cr_assert(next.has_value());
-    cr_assert_eq(*next + written, 500, "no line is lost from the count");
+    cr_assert_eq(*next + written, 500, "the count includes every suppressed line");
     cr_assert(limit.admit("not_ready", start + Duration(1001)) == 0U);
 }
--- a/tests/main/testmetrics.cpp
+++ b/tests/main/testmetrics.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/** A file of the source tree; the test runner names its root. */
+/** Returns the content of a file of the source tree, whose root is in APRICOTSTEP_SOURCE. */
 std::string sourceFile(const std::string &name)
 {
     const char *root = std::getenv("APRICOTSTEP_SOURCE");
@@ -26,7 +26,7 @@
     return text.str();
 }
 
-/** The rows of the reference page that @p text, in Prometheus' form, calls for. */
+/** Returns the rows that the reference page must have for the metrics in @p text, in Prometheus' text format. */
 std::set<std::string> rowsOf(const std::string &text)
 {
     std::map<std::string, std::string> help;
@@ -71,7 +71,7 @@
 
 Test(metrics, referencePageMatchesMetrics)
 {
-    // An operator writes alert rules by the page. A rule on a metric or a label that has gone by never fires, and nobody notices.
+    // Operators write alert rules with the reference page. A rule on a metric or label that no longer exists silently never fires.
     Metrics metrics;
     metrics.completionServed(Priority::Urgent, Duration(1), Duration(2), Duration(3));
     metrics.serviceCall("payments", 200, Duration(1));
@@ -102,7 +102,7 @@
     for (const std::string &row : documented) {
         cr_expect(false, "no such metric, or not used above: %s", row.c_str());
     }
-    // A metric with labels shows only once it has counted, so those that the lines above leave out are found in the source.
+    // A metric with labels appears only after its first use, so metrics that are not used above are found in the source.
     const std::string source = sourceFile("main/metrics.cpp") + sourceFile("main/metrics.h") + sourceFile("main/entry/entrymetrics.cpp");
     const std::regex name("\"(apricotstep_[a-z_]+)\"");
     for (std::sregex_iterator at(source.begin(), source.end(), name), end; at != end; ++at) {
--- a/tests/main/testoperators.cpp
+++ b/tests/main/testoperators.cpp
@@ -18,7 +18,7 @@
 
 using Json = nlohmann::json;
 
-/** A node whose VM list comes from the test, and whose configuration service cannot be reached. */
+/** Starts a node whose VM list comes from the test and whose configuration service is unreachable. */
 std::unique_ptr<Node> startNode(const std::string &id, const std::string &vmListAddress)
 {
     const auto settings = Settings::parse("[node]\nid = " + id
@@ -67,7 +67,7 @@
     return refused;
 }
 
-/** Asks until @p isExpected, for 20 s at most. */
+/** Repeats a query until @p isExpected accepts the answer, for at most 20 s. Returns the last answer. */
 Json pollUntil(int (*show)(const OperatorQuery &, std::ostream &, std::ostream &), const OperatorQuery &query,
     const std::function<bool(const Json &)> &isExpected)
 {
@@ -90,8 +90,8 @@
 
 Test(operators, burnOfAllNodesCountsOutageAndListsMissingNodes)
 {
-    // The nodes have no configuration, so every caller is refused. Each operator port must show it, one of them the sum over both; and when
-    // a node has died, a sum without it must not look like the whole.
+    // The nodes have no configuration, so every request is refused. An operator port must report the sum over both nodes. After a node has
+    // died, a sum without it must not look complete.
     absl::Mutex mutex;
     std::string list = R"({"vms":[]})";
     const Fixtures::Upstream platform([&](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) {
@@ -120,7 +120,7 @@
 
 Test(operators, burnOfAnOutageMatchesCalculation)
 {
-    // For six minutes of an hour a plain service answers every fourth call with 500. Callers' own mistakes come in between.
+    // During six minutes of an hour, a plain service answers every fourth call with 500. Mistakes of callers in between are not failures.
     const auto settings = Fixtures::NodeFixture().settings;
     ManualClock clock;
     ServiceLevels levels(objectivesOf(*settings));
@@ -153,7 +153,7 @@
     cr_assert(errors.str().find("127.0.0.1:1 did not answer") != std::string::npos);
     const Fixtures::Upstream other(
         [](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) { exchange->respond(200, {}, "[]"); });
-    cr_assert_eq(showBurn({ other.address(), false, false, {} }, out, errors), 1, "something else listens there");
+    cr_assert_eq(showBurn({ other.address(), false, false, {} }, out, errors), 1, "another program listens on that port");
     cr_assert_eq(showStatus({ other.address(), false, false, {} }, out, errors), 1);
     cr_assert_eq(showAddress(other.address(), "kitchen", false, out, errors), 1);
     cr_assert(out.str().empty());
--- a/tests/main/testpack.cpp
+++ b/tests/main/testpack.cpp
@@ -116,7 +116,7 @@
     cr_assert_lt(ValueDirectory(directory / "v").text(head.deltaHash).value().size(), 300);
     const auto catalog = ValueDirectory(directory / "v").catalog().value();
     cr_assert(catalog->resolve("track=canary").value().name() == "kitchen@2");
-    // Nothing changed: no new version.
+    // An unchanged catalog gets no new version.
     cr_assert_eq(packConfig({ directory / "c.ini", directory / "v", directory / "v" }, Time(1), out, errors), 0);
     cr_assert_eq(headOf(directory / "v").version.value(), 7001);
 }
