--- a/state/catalog.cpp
+++ b/state/catalog.cpp
@@ -16,11 +16,11 @@
 
 constexpr int MaxSlots = 1024;
 constexpr int MaxBatch = 4096;
-constexpr std::size_t MaxListed = 5;
-constexpr std::size_t MaxCounted = 100;
-constexpr std::size_t MaxWordLength = 256;
+constexpr std::size_t MaxListedMatches = 5;
+constexpr std::size_t MaxCountedMatches = 100;
+constexpr std::size_t MaxNameLength = 256;
 constexpr std::size_t MaxLabels = 32;
-constexpr int NumberBits = 32;
+constexpr int RecordNumberBits = 32;
 
 Error invalid(std::string detail)
 {
@@ -32,10 +32,10 @@
     return std::string(name) + '=' + std::string(value);
 }
 
-bool isWord(std::string_view text)
+bool isValidName(std::string_view text)
 {
     const auto isBad = [](unsigned char c) { return c <= ' ' || c == 0x7f || c == '@' || c == '=' || c == ','; };
-    return !text.empty() && text.size() <= MaxWordLength && std::none_of(text.begin(), text.end(), isBad);
+    return !text.empty() && text.size() <= MaxNameLength && std::none_of(text.begin(), text.end(), isBad);
 }
 
 // A record is id, version, base model and then labels, with line ends between: words contain none.
@@ -84,31 +84,31 @@
 }
 
 // Index entries hold the top half of a hash above a record's number. Hashes collide, so a hit is always checked with the record.
-std::uint64_t firstEntry(std::string_view text)
+std::uint64_t firstIndexEntry(std::string_view text)
 {
-    return stableHash(text) >> NumberBits << NumberBits;
+    return stableHash(text) >> RecordNumberBits << RecordNumberBits;
 }
 
-std::uint64_t lastEntry(std::string_view text)
+std::uint64_t lastIndexEntry(std::string_view text)
 {
-    return firstEntry(text) | UINT32_MAX;
+    return firstIndexEntry(text) | UINT32_MAX;
 }
 
 } // namespace
 
 std::string adapterSpecError(const AdapterSpec &spec)
 {
-    if (!isWord(spec.key.id.value()) || !isWord(spec.key.version.value())) {
+    if (!isValidName(spec.key.id.value()) || !isValidName(spec.key.version.value())) {
         return "adapter '" + spec.key.name() + "': id and version must be words without '@', '=', ',' or blanks";
     }
-    if (!spec.baseModel.isEmpty() && !isWord(spec.baseModel.value())) {
+    if (!spec.baseModel.isEmpty() && !isValidName(spec.baseModel.value())) {
         return "adapter '" + spec.key.name() + "': base model '" + spec.baseModel.value() + "' is not a word";
     }
     if (spec.labels.size() > MaxLabels) {
         return "adapter '" + spec.key.name() + "' has more than " + std::to_string(MaxLabels) + " labels";
     }
     for (const Label &label : spec.labels) {
-        if (!isWord(label.name) || !isWord(label.value)) {
+        if (!isValidName(label.name) || !isValidName(label.value)) {
             return "adapter '" + spec.key.name() + "': label '" + labelText(label.name, label.value) + "' is not name=value";
         }
         if (std::count_if(spec.labels.begin(), spec.labels.end(), [&](const Label &other) { return other.name == label.name; }) > 1) {
@@ -120,7 +120,7 @@
 
 std::string upstreamSpecError(const UpstreamSpec &spec)
 {
-    if (!isWord(spec.id.value())) {
+    if (!isValidName(spec.id.value())) {
         return "upstream '" + spec.id.value() + "': the id must be a word";
     }
     if (spec.address.find(':') == std::string::npos) {
@@ -136,7 +136,7 @@
 {
 
 // Upstreams and services of one snapshot. Successive snapshots share them as long as no change touches them.
-struct Fleet
+struct UpstreamTable
 {
     std::vector<UpstreamSpec> upstreams;
     std::vector<ServiceSpec> services;
@@ -146,7 +146,7 @@
     std::string check();
 };
 
-std::string Fleet::check()
+std::string UpstreamTable::check()
 {
     upstreamIndex.clear();
     serviceIndex.clear();
@@ -161,7 +161,7 @@
     }
     for (std::uint32_t i = 0; i < services.size(); ++i) {
         const ServiceSpec &spec = services[i];
-        if (!isWord(spec.name.value()) || !serviceIndex.emplace(spec.name, i).second) {
+        if (!isValidName(spec.name.value()) || !serviceIndex.emplace(spec.name, i).second) {
             return "service '" + spec.name.value() + "': the name must be a word and listed once";
         }
         for (const UpstreamId &id : spec.upstreams) {
@@ -198,12 +198,12 @@
     RecordTable records;
     SharedIndex byId;
     SharedIndex byLabel;
-    std::shared_ptr<const Fleet> fleet = std::make_shared<Fleet>();
+    std::shared_ptr<const UpstreamTable> upstreamTable = std::make_shared<UpstreamTable>();
 
     std::string setAdapters(std::vector<AdapterSpec> adapters);
-    std::string setFleet(std::vector<UpstreamSpec> upstreams, std::vector<ServiceSpec> services);
+    std::string setUpstreamTable(std::vector<UpstreamSpec> upstreams, std::vector<ServiceSpec> services);
     std::string applyAdapters(const CatalogDelta &delta);
-    std::string applyFleet(const CatalogDelta &delta);
+    std::string applyUpstreams(const CatalogDelta &delta);
     void unindexLabels(std::uint32_t number);
     void indexLabels(std::uint32_t number, const AdapterSpec &spec);
 
@@ -211,8 +211,8 @@
     std::vector<std::uint32_t> versionsOf(std::string_view id) const;
     std::vector<std::uint32_t> matching(const std::vector<std::string> &labels) const;
     AdapterKey keyOf(std::uint32_t number) const;
-    Result<AdapterKey> exactlyOne(
-        const std::vector<std::uint32_t> &found, std::string_view selector, const std::vector<std::uint32_t> &near) const;
+    Result<AdapterKey> resolveUnique(
+        const std::vector<std::uint32_t> &found, std::string_view selector, const std::vector<std::uint32_t> &similar) const;
 };
 
 std::string Catalog::Private::setAdapters(std::vector<AdapterSpec> adapters)
@@ -233,9 +233,9 @@
             return "adapter '" + spec.key.name() + "' is listed twice";
         }
         texts.push_back(recordOf(spec));
-        ids.push_back(firstEntry(spec.key.id.value()) | i);
+        ids.push_back(firstIndexEntry(spec.key.id.value()) | i);
         for (const Label &label : spec.labels) {
-            labels.push_back(firstEntry(labelText(label.name, label.value)) | i);
+            labels.push_back(firstIndexEntry(labelText(label.name, label.value)) | i);
         }
     }
     records = RecordTable::build(texts);
@@ -244,27 +244,27 @@
     return {};
 }
 
-std::string Catalog::Private::setFleet(std::vector<UpstreamSpec> upstreams, std::vector<ServiceSpec> services)
+std::string Catalog::Private::setUpstreamTable(std::vector<UpstreamSpec> upstreams, std::vector<ServiceSpec> services)
 {
-    auto changed = std::make_shared<Fleet>();
+    auto changed = std::make_shared<UpstreamTable>();
     changed->upstreams = std::move(upstreams);
     changed->services = std::move(services);
     std::string fault = changed->check();
-    fleet = std::move(changed);
+    upstreamTable = std::move(changed);
     return fault;
 }
 
 void Catalog::Private::unindexLabels(std::uint32_t number)
 {
     for (const Label &label : specOf(records.at(number)).labels) {
-        byLabel.erase(firstEntry(labelText(label.name, label.value)) | number);
+        byLabel.erase(firstIndexEntry(labelText(label.name, label.value)) | number);
     }
 }
 
 void Catalog::Private::indexLabels(std::uint32_t number, const AdapterSpec &spec)
 {
     for (const Label &label : spec.labels) {
-        byLabel.insert(firstEntry(labelText(label.name, label.value)) | number);
+        byLabel.insert(firstIndexEntry(labelText(label.name, label.value)) | number);
     }
 }
 
@@ -276,7 +276,7 @@
             return "adapter '" + key.name() + "' is removed but does not exist";
         }
         unindexLabels(*number);
-        byId.erase(firstEntry(key.id.value()) | *number);
+        byId.erase(firstIndexEntry(key.id.value()) | *number);
         records.remove(*number);
     }
     for (const AdapterSpec &spec : delta.adapters) {
@@ -290,20 +290,20 @@
             records.replace(*number, recordOf(spec));
         } else {
             number = records.add(recordOf(spec));
-            byId.insert(firstEntry(spec.key.id.value()) | *number);
+            byId.insert(firstIndexEntry(spec.key.id.value()) | *number);
         }
         indexLabels(*number, spec);
     }
     return {};
 }
 
-std::string Catalog::Private::applyFleet(const CatalogDelta &delta)
+std::string Catalog::Private::applyUpstreams(const CatalogDelta &delta)
 {
     if (delta.upstreams.empty() && delta.removedUpstreams.empty() && delta.services.empty() && delta.removedServices.empty()) {
         return {};
     }
-    std::vector<UpstreamSpec> upstreams = fleet->upstreams;
-    std::vector<ServiceSpec> services = fleet->services;
+    std::vector<UpstreamSpec> upstreams = upstreamTable->upstreams;
+    std::vector<ServiceSpec> services = upstreamTable->services;
     for (const UpstreamId &id : delta.removedUpstreams) {
         if (!removeById(upstreams, id, &UpstreamSpec::id)) {
             return "upstream '" + id.value() + "' is removed but does not exist";
@@ -320,7 +320,7 @@
     for (const ServiceSpec &spec : delta.services) {
         putById(services, spec, &ServiceSpec::name);
     }
-    return setFleet(std::move(upstreams), std::move(services));
+    return setUpstreamTable(std::move(upstreams), std::move(services));
 }
 
 AdapterKey Catalog::Private::keyOf(std::uint32_t number) const
@@ -335,7 +335,7 @@
 std::optional<std::uint32_t> Catalog::Private::find(const AdapterKey &key) const
 {
     std::optional<std::uint32_t> found;
-    byId.visit(firstEntry(key.id.value()), lastEntry(key.id.value()), [&](std::uint64_t entry) {
+    byId.visit(firstIndexEntry(key.id.value()), lastIndexEntry(key.id.value()), [&](std::uint64_t entry) {
         const auto number = static_cast<std::uint32_t>(entry);
         std::string_view record = records.at(number);
         if (nextField(record) == key.id.value() && nextField(record) == key.version.value()) {
@@ -349,13 +349,13 @@
 std::vector<std::uint32_t> Catalog::Private::versionsOf(std::string_view id) const
 {
     std::vector<std::uint32_t> found;
-    byId.visit(firstEntry(id), lastEntry(id), [&](std::uint64_t entry) {
+    byId.visit(firstIndexEntry(id), lastIndexEntry(id), [&](std::uint64_t entry) {
         const auto number = static_cast<std::uint32_t>(entry);
         std::string_view record = records.at(number);
         if (nextField(record) == id) {
             found.push_back(number);
         }
-        return found.size() < MaxCounted;
+        return found.size() < MaxCountedMatches;
     });
     return found;
 }
@@ -366,38 +366,38 @@
     const std::string *rarest = &labels.front();
     std::size_t fewest = SIZE_MAX;
     for (const std::string &label : labels) {
-        const std::size_t count = byLabel.extent(firstEntry(label), lastEntry(label));
+        const std::size_t count = byLabel.estimateCount(firstIndexEntry(label), lastIndexEntry(label));
         if (count < fewest) {
             fewest = count;
             rarest = &label;
         }
     }
     std::vector<std::uint32_t> found;
-    byLabel.visit(firstEntry(*rarest), lastEntry(*rarest), [&](std::uint64_t entry) {
+    byLabel.visit(firstIndexEntry(*rarest), lastIndexEntry(*rarest), [&](std::uint64_t entry) {
         const auto number = static_cast<std::uint32_t>(entry);
         const std::string_view record = records.at(number);
         if (std::all_of(labels.begin(), labels.end(), [&](const std::string &label) { return hasLabel(record, label); })) {
             found.push_back(number);
         }
-        return found.size() < MaxCounted;
+        return found.size() < MaxCountedMatches;
     });
     return found;
 }
 
-Result<AdapterKey> Catalog::Private::exactlyOne(
-    const std::vector<std::uint32_t> &found, std::string_view selector, const std::vector<std::uint32_t> &near) const
+Result<AdapterKey> Catalog::Private::resolveUnique(
+    const std::vector<std::uint32_t> &found, std::string_view selector, const std::vector<std::uint32_t> &similar) const
 {
     if (found.size() == 1) {
         return keyOf(found.front());
     }
     std::vector<AdapterKey> listed;
-    for (const std::uint32_t number : found.empty() ? near : found) {
+    for (const std::uint32_t number : found.empty() ? similar : found) {
         listed.push_back(keyOf(number));
     }
     std::sort(listed.begin(), listed.end());
-    std::string detail = "'" + std::string(selector) + "' matches " + (found.size() < MaxCounted ? "" : "at least ")
+    std::string detail = "'" + std::string(selector) + "' matches " + (found.size() < MaxCountedMatches ? "" : "at least ")
         + std::to_string(found.size()) + " adapter versions in configuration " + std::to_string(version.value());
-    for (std::size_t i = 0; i < std::min(listed.size(), MaxListed); ++i) {
+    for (std::size_t i = 0; i < std::min(listed.size(), MaxListedMatches); ++i) {
         detail += (i == 0 ? "; near: " : ", ") + listed[i].name();
     }
     return Error { found.empty() ? ErrorKind::UnknownSelector : ErrorKind::AmbiguousSelector, detail };
@@ -421,7 +421,7 @@
     catalog->d->version = content.version;
     std::string fault = catalog->d->setAdapters(std::move(content.adapters));
     if (fault.empty()) {
-        fault = catalog->d->setFleet(std::move(content.upstreams), std::move(content.services));
+        fault = catalog->d->setUpstreamTable(std::move(content.upstreams), std::move(content.services));
     }
     if (!fault.empty()) {
         return invalid(std::move(fault));
@@ -439,7 +439,7 @@
     next->d->version = delta.version;
     std::string fault = next->d->applyAdapters(delta);
     if (fault.empty()) {
-        fault = next->d->applyFleet(delta);
+        fault = next->d->applyUpstreams(delta);
     }
     if (!fault.empty()) {
         return invalid(std::move(fault));
@@ -472,24 +472,24 @@
 
 const std::vector<UpstreamSpec> &Catalog::upstreams() const
 {
-    return d->fleet->upstreams;
+    return d->upstreamTable->upstreams;
 }
 
 const std::vector<ServiceSpec> &Catalog::services() const
 {
-    return d->fleet->services;
+    return d->upstreamTable->services;
 }
 
 const UpstreamSpec *Catalog::upstream(const UpstreamId &id) const
 {
-    const auto at = d->fleet->upstreamIndex.find(id);
-    return at == d->fleet->upstreamIndex.end() ? nullptr : &d->fleet->upstreams[at->second];
+    const auto at = d->upstreamTable->upstreamIndex.find(id);
+    return at == d->upstreamTable->upstreamIndex.end() ? nullptr : &d->upstreamTable->upstreams[at->second];
 }
 
 const ServiceSpec *Catalog::service(const ServiceName &name) const
 {
-    const auto at = d->fleet->serviceIndex.find(name);
-    return at == d->fleet->serviceIndex.end() ? nullptr : &d->fleet->services[at->second];
+    const auto at = d->upstreamTable->serviceIndex.find(name);
+    return at == d->upstreamTable->serviceIndex.end() ? nullptr : &d->upstreamTable->services[at->second];
 }
 
 bool Catalog::contains(const AdapterKey &key) const
@@ -520,8 +520,8 @@
     CatalogContent content;
     content.version = d->version;
     content.adapters = adapters(SIZE_MAX);
-    content.upstreams = d->fleet->upstreams;
-    content.services = d->fleet->services;
+    content.upstreams = d->upstreamTable->upstreams;
+    content.services = d->upstreamTable->services;
     std::sort(content.upstreams.begin(), content.upstreams.end(), [](const auto &a, const auto &b) { return a.id < b.id; });
     std::sort(content.services.begin(), content.services.end(), [](const auto &a, const auto &b) { return a.name < b.name; });
     return content;
@@ -534,16 +534,16 @@
     }
     if (selector.find('=') != std::string_view::npos) {
         const std::vector<std::string> labels = absl::StrSplit(std::string(selector), ',');
-        return d->exactlyOne(d->matching(labels), selector, d->matching({ labels.front() }));
+        return d->resolveUnique(d->matching(labels), selector, d->matching({ labels.front() }));
     }
     const std::size_t at = selector.find('@');
     const auto versions = d->versionsOf(selector.substr(0, at));
     if (at == std::string_view::npos) {
-        return d->exactlyOne(versions, selector, {});
+        return d->resolveUnique(versions, selector, {});
     }
     const AdapterKey key { AdapterId(std::string(selector.substr(0, at))), AdapterVersion(std::string(selector.substr(at + 1))) };
     if (!contains(key)) {
-        return d->exactlyOne({}, selector, versions);
+        return d->resolveUnique({}, selector, versions);
     }
     return key;
 }
--- a/state/sharedindex.cpp
+++ b/state/sharedindex.cpp
@@ -73,7 +73,7 @@
     }
 }
 
-std::size_t SharedIndex::extent(std::uint64_t first, std::uint64_t last) const
+std::size_t SharedIndex::estimateCount(std::uint64_t first, std::uint64_t last) const
 {
     if (m_blocks.empty()) {
         return 0;
--- a/state/sharedindex.h
+++ b/state/sharedindex.h
@@ -23,7 +23,7 @@
     void erase(std::uint64_t value);
 
     /** About how many values lie in [first, last]: exact within a block, else told by the number of blocks, without reading them. */
-    std::size_t extent(std::uint64_t first, std::uint64_t last) const;
+    std::size_t estimateCount(std::uint64_t first, std::uint64_t last) const;
     /** Calls @p visit for each value in [first, last], ascending, until it returns false. */
     void visit(std::uint64_t first, std::uint64_t last, const std::function<bool(std::uint64_t)> &visit) const;
 
