--- a/state/catalogdifference.cpp
+++ b/state/catalogdifference.cpp
@@ -9,7 +9,7 @@
 {
 
 template<typename Spec, typename Id>
-void compare(std::vector<Spec> old, std::vector<Spec> next, Id Spec::*id, std::vector<Spec> &changed, std::vector<Id> &removed)
+void collectChanges(std::vector<Spec> old, std::vector<Spec> next, Id Spec::*id, std::vector<Spec> &changed, std::vector<Id> &removed)
 {
     const auto isLess = [id](const Spec &a, const Spec &b) { return a.*id < b.*id; };
     std::sort(old.begin(), old.end(), isLess);
@@ -34,9 +34,9 @@
     CatalogDelta delta;
     delta.from = old.version;
     delta.version = next.version;
-    compare(old.adapters, next.adapters, &AdapterSpec::key, delta.adapters, delta.removedAdapters);
-    compare(old.upstreams, next.upstreams, &UpstreamSpec::id, delta.upstreams, delta.removedUpstreams);
-    compare(old.services, next.services, &ServiceSpec::name, delta.services, delta.removedServices);
+    collectChanges(old.adapters, next.adapters, &AdapterSpec::key, delta.adapters, delta.removedAdapters);
+    collectChanges(old.upstreams, next.upstreams, &UpstreamSpec::id, delta.upstreams, delta.removedUpstreams);
+    collectChanges(old.services, next.services, &ServiceSpec::name, delta.services, delta.removedServices);
     return delta;
 }
 
--- a/state/recordtable.cpp
+++ b/state/recordtable.cpp
@@ -53,14 +53,14 @@
 void RecordTable::replace(std::uint32_t number, std::string_view text)
 {
     const std::shared_ptr<const Block> old = m_blocks[number / BlockSize];
-    const std::uint32_t place = number % BlockSize;
+    const std::uint32_t indexInBlock = number % BlockSize;
     Block changed;
-    const std::size_t count = std::max<std::size_t>(old->ends.size(), place + 1);
+    const std::size_t count = std::max<std::size_t>(old->ends.size(), indexInBlock + 1);
     changed.ends.reserve(count);
     std::uint32_t begin = 0;
     for (std::uint32_t i = 0; i < count; ++i) {
         const std::uint32_t end = i < old->ends.size() ? old->ends[i] : begin;
-        changed.text += i == place ? text : std::string_view(old->text).substr(begin, end - begin);
+        changed.text += i == indexInBlock ? text : std::string_view(old->text).substr(begin, end - begin);
         changed.ends.push_back(static_cast<std::uint32_t>(changed.text.size()));
         begin = end;
     }
@@ -77,9 +77,9 @@
 std::string_view RecordTable::at(std::uint32_t number) const
 {
     const Block &block = *m_blocks[number / BlockSize];
-    const std::uint32_t place = number % BlockSize;
-    const std::uint32_t begin = place == 0 ? 0 : block.ends[place - 1];
-    return std::string_view(block.text).substr(begin, block.ends[place] - begin);
+    const std::uint32_t indexInBlock = number % BlockSize;
+    const std::uint32_t begin = indexInBlock == 0 ? 0 : block.ends[indexInBlock - 1];
+    return std::string_view(block.text).substr(begin, block.ends[indexInBlock] - begin);
 }
 
 std::size_t RecordTable::size() const
--- a/state/routetable.cpp
+++ b/state/routetable.cpp
@@ -25,7 +25,7 @@
     return a.pathPrefix < b.pathPrefix;
 }
 
-std::string faultOf(const Route &route)
+std::string routeError(const Route &route)
 {
     if (route.pathPrefix.empty() || route.pathPrefix.front() != '/' || route.pathPrefix.back() != '/') {
         return "its path prefix '" + route.pathPrefix + "' does not begin and end with a slash";
@@ -59,9 +59,9 @@
     std::shared_ptr<const RouteTable> table(new RouteTable(std::move(source)));
     const Route *previous = nullptr;
     for (const Route &route : table->m_source.routes) {
-        const std::string fault = faultOf(route);
-        if (!fault.empty()) {
-            return Error { ErrorKind::ConfigInvalid, "route '" + route.name + "': " + fault };
+        const std::string error = routeError(route);
+        if (!error.empty()) {
+            return Error { ErrorKind::ConfigInvalid, "route '" + route.name + "': " + error };
         }
         for (const RouteTarget &target : route.targets) {
             if (table->service(target.service) == nullptr) {
@@ -96,10 +96,10 @@
     return at == m_source.services.end() ? nullptr : &*at;
 }
 
-const RouteTarget &selectTarget(const Route &route, double draw)
+const RouteTarget &selectTarget(const Route &route, double sample)
 {
     const auto add = [](double sum, const RouteTarget &target) { return sum + target.weight; };
-    double left = draw * std::accumulate(route.targets.begin(), route.targets.end(), 0.0, add);
+    double left = sample * std::accumulate(route.targets.begin(), route.targets.end(), 0.0, add);
     for (const RouteTarget &target : route.targets) {
         left -= target.weight;
         if (left < 0) {
--- a/state/routetable.h
+++ b/state/routetable.h
@@ -137,7 +137,7 @@
     RouteTableSource m_source;
 };
 
-/** The target that @p draw, 0 to 1, falls on; the same draw always gives the same one. */
-const RouteTarget &selectTarget(const Route &route, double draw);
+/** The target that @p sample, 0 to 1, falls on; the same draw always gives the same one. */
+const RouteTarget &selectTarget(const Route &route, double sample);
 
 } // namespace ApricotStep
--- a/state/servicelevel.cpp
+++ b/state/servicelevel.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-struct Shard
+struct ClassCounters
 {
     struct Bucket
     {
@@ -34,14 +34,14 @@
 struct ServiceLevels::Private
 {
     std::array<Objective, ServiceClassCount> objectives;
-    std::array<Shard, ServiceClassCount> shards;
+    std::array<ClassCounters, ServiceClassCount> classCounters;
 
     void add(ServiceClass serviceClass, bool isGood, Time now)
     {
-        Shard &shard = shards[static_cast<std::size_t>(serviceClass)];
+        ClassCounters &counters = classCounters[static_cast<std::size_t>(serviceClass)];
         const std::int64_t minute = minuteOf(now);
-        const absl::MutexLock lock(&shard.mutex);
-        Shard::Bucket &bucket = shard.ring[static_cast<std::size_t>(minute) % MinuteCount];
+        const absl::MutexLock lock(&counters.mutex);
+        ClassCounters::Bucket &bucket = counters.ring[static_cast<std::size_t>(minute) % MinuteCount];
         if (bucket.minute != minute) {
             bucket = { minute, {} };
         }
@@ -93,10 +93,10 @@
     return d->objectives[static_cast<std::size_t>(serviceClass)];
 }
 
-void ServiceLevels::recordAnswer(ServiceClass serviceClass, Duration took, Time now)
+void ServiceLevels::recordAnswer(ServiceClass serviceClass, Duration latency, Time now)
 {
     const Duration limit = objective(serviceClass).limit;
-    d->add(serviceClass, limit == Duration(0) || took <= limit, now);
+    d->add(serviceClass, limit == Duration(0) || latency <= limit, now);
 }
 
 void ServiceLevels::recordFailure(ServiceClass serviceClass, ErrorKind kind, Time now)
@@ -110,11 +110,11 @@
 {
     const std::size_t count = std::clamp<std::size_t>(minutes, 1, MinuteCount);
     const std::int64_t newest = minuteOf(now);
-    Shard &shard = d->shards[static_cast<std::size_t>(serviceClass)];
+    ClassCounters &counters = d->classCounters[static_cast<std::size_t>(serviceClass)];
     std::vector<EventCounts> all;
-    const absl::MutexLock lock(&shard.mutex);
+    const absl::MutexLock lock(&counters.mutex);
     for (std::int64_t minute = newest - static_cast<std::int64_t>(count) + 1; minute <= newest; ++minute) {
-        const Shard::Bucket &bucket = shard.ring[static_cast<std::size_t>(std::max<std::int64_t>(minute, 0)) % MinuteCount];
+        const ClassCounters::Bucket &bucket = counters.ring[static_cast<std::size_t>(std::max<std::int64_t>(minute, 0)) % MinuteCount];
         all.push_back(bucket.minute == minute ? bucket.counts : EventCounts {});
     }
     return all;
--- a/state/servicelevel.h
+++ b/state/servicelevel.h
@@ -67,8 +67,8 @@
     ~ServiceLevels();
 
     const Objective &objective(ServiceClass serviceClass) const;
-    /** An event was answered after @p took; it is bad when that is over the limit. */
-    void recordAnswer(ServiceClass serviceClass, Duration took, Time now);
+    /** An event was answered after @p latency; it is bad when that is over the limit. */
+    void recordAnswer(ServiceClass serviceClass, Duration latency, Time now);
     /** An event failed; it counts only when spendsErrorBudget(). */
     void recordFailure(ServiceClass serviceClass, ErrorKind kind, Time now);
     /** The events of the last @p minutes, 1 to MinuteCount, the current one included. */
--- a/state/sharedindex.cpp
+++ b/state/sharedindex.cpp
@@ -40,11 +40,11 @@
     }
     const std::size_t at = blockOf(value);
     Block changed = *m_blocks[at];
-    const auto place = std::lower_bound(changed.begin(), changed.end(), value);
-    if (place != changed.end() && *place == value) {
+    const auto position = std::lower_bound(changed.begin(), changed.end(), value);
+    if (position != changed.end() && *position == value) {
         return;
     }
-    changed.insert(place, value);
+    changed.insert(position, value);
     if (changed.size() > MaxBlockSize) {
         const auto middle = changed.begin() + static_cast<std::ptrdiff_t>(changed.size() / 2);
         m_blocks.insert(m_blocks.begin() + static_cast<std::ptrdiff_t>(at) + 1, std::make_shared<Block>(middle, changed.end()));
@@ -61,11 +61,11 @@
     }
     const std::size_t at = blockOf(value);
     Block changed = *m_blocks[at];
-    const auto place = std::lower_bound(changed.begin(), changed.end(), value);
-    if (place == changed.end() || *place != value) {
+    const auto position = std::lower_bound(changed.begin(), changed.end(), value);
+    if (position == changed.end() || *position != value) {
         return;
     }
-    changed.erase(place);
+    changed.erase(position);
     if (changed.empty()) {
         m_blocks.erase(m_blocks.begin() + static_cast<std::ptrdiff_t>(at));
     } else {
