--- a/protocol/bytewriter.h
+++ b/protocol/bytewriter.h
@@ -39,33 +39,33 @@
 {
 public:
     explicit ByteReader(std::string_view bytes)
-        : m_left(bytes)
+        : m_remaining(bytes)
     {
     }
 
     template<typename T>
     T number()
     {
-        if (m_left.size() < sizeof(T)) {
+        if (m_remaining.size() < sizeof(T)) {
             m_isGood = false;
             return 0;
         }
         std::uint64_t value = 0;
         for (std::size_t i = 0; i < sizeof(T); ++i) {
-            value |= std::uint64_t { static_cast<std::uint8_t>(m_left[i]) } << (8 * i);
+            value |= std::uint64_t { static_cast<std::uint8_t>(m_remaining[i]) } << (8 * i);
         }
-        m_left.remove_prefix(sizeof(T));
+        m_remaining.remove_prefix(sizeof(T));
         return static_cast<T>(value);
     }
     std::string text()
     {
         const std::size_t size = number<std::uint8_t>();
-        if (m_left.size() < size) {
+        if (m_remaining.size() < size) {
             m_isGood = false;
             return {};
         }
-        std::string value(m_left.substr(0, size));
-        m_left.remove_prefix(size);
+        std::string value(m_remaining.substr(0, size));
+        m_remaining.remove_prefix(size);
         return value;
     }
     bool isGood() const
@@ -74,11 +74,11 @@
     }
     bool isAtEnd() const
     {
-        return m_left.empty();
+        return m_remaining.empty();
     }
 
 private:
-    std::string_view m_left;
+    std::string_view m_remaining;
     bool m_isGood = true;
 };
 
--- a/protocol/callerapi.cpp
+++ b/protocol/callerapi.cpp
@@ -14,7 +14,7 @@
 
 constexpr int MaxTokensLimit = 1'000'000;
 
-Error bad(std::string detail)
+Error badRequest(std::string detail)
 {
     return { ErrorKind::BadRequest, std::move(detail) };
 }
@@ -31,25 +31,25 @@
 {
     const Json json = Json::parse(body, nullptr, false);
     if (!json.is_object()) {
-        return bad("the body is not a JSON object");
+        return badRequest("the body is not a JSON object");
     }
     const auto model = json.find("model");
     if (model == json.end() || !model->is_string()) {
-        return bad("'model' must be a string: adapter, adapter@version or name=value[,name=value]");
+        return badRequest("'model' must be a string: adapter, adapter@version or name=value[,name=value]");
     }
     CompletionRequest request;
     request.selector = model->get<std::string>();
     const auto stream = json.find("stream");
     if (stream != json.end()) {
         if (!stream->is_boolean()) {
-            return bad("'stream' must be true or false");
+            return badRequest("'stream' must be true or false");
         }
         request.isStream = stream->get<bool>();
     }
     const auto maxTokens = json.find("max_tokens");
     if (maxTokens != json.end()) {
         if (!maxTokens->is_number_integer() || maxTokens->get<std::int64_t>() < 1 || maxTokens->get<std::int64_t>() > MaxTokensLimit) {
-            return bad("'max_tokens' must be a whole number from 1 to 1000000");
+            return badRequest("'max_tokens' must be a whole number from 1 to 1000000");
         }
         request.maxTokens = maxTokens->get<int>();
     }
@@ -139,7 +139,7 @@
 {
     const auto at = std::find(PriorityNames.begin(), PriorityNames.end(), code);
     if (at == PriorityNames.end()) {
-        return bad("the priority must be urgent, standard or patient");
+        return badRequest("the priority must be urgent, standard or patient");
     }
     return static_cast<Priority>(at - PriorityNames.begin());
 }
--- a/protocol/engineapi.cpp
+++ b/protocol/engineapi.cpp
@@ -13,9 +13,9 @@
 using Json = nlohmann::json;
 
 // Adapter names always have an '@', so this one cannot be meant for an adapter.
-constexpr std::string_view ClaimName = "apricotstep-claim";
+constexpr std::string_view ClaimAdapterName = "apricotstep-claim";
 constexpr int ConflictStatus = 409;
-constexpr std::string_view FencedWord = "fenced";
+constexpr std::string_view FencedMarker = "fenced";
 
 void addAdapter(std::vector<AdapterKey> &adapters, const std::string &name)
 {
@@ -39,7 +39,7 @@
 
 std::string engineClaimBody()
 {
-    return nlohmann::json({ { "lora_name", ClaimName } }).dump();
+    return nlohmann::json({ { "lora_name", ClaimAdapterName } }).dump();
 }
 
 Result<EngineLoadReport> parseEngineLoadReport(std::string_view text)
@@ -66,7 +66,7 @@
 
 bool isFencedAnswer(int status, std::string_view body)
 {
-    return status == ConflictStatus && body.find(FencedWord) != std::string_view::npos;
+    return status == ConflictStatus && body.find(FencedMarker) != std::string_view::npos;
 }
 
 } // namespace ApricotStep
--- a/protocol/eventsplitter.cpp
+++ b/protocol/eventsplitter.cpp
@@ -5,25 +5,25 @@
 
 std::string EventSplitter::push(std::string_view bytes)
 {
-    m_rest.append(bytes);
+    m_partialEvent.append(bytes);
     // An event ends with an empty line; lines end with LF or CRLF.
     std::size_t end = std::string::npos;
-    for (const std::string_view mark : { "\n\n", "\n\r\n" }) {
-        const std::size_t at = m_rest.rfind(mark);
-        if (at != std::string::npos && (end == std::string::npos || at + mark.size() > end)) {
-            end = at + mark.size();
+    for (const std::string_view delimiter : { "\n\n", "\n\r\n" }) {
+        const std::size_t at = m_partialEvent.rfind(delimiter);
+        if (at != std::string::npos && (end == std::string::npos || at + delimiter.size() > end)) {
+            end = at + delimiter.size();
         }
     }
     if (end == std::string::npos) {
         return {};
     }
-    std::string whole = m_rest.substr(0, end);
-    m_rest.erase(0, end);
-    noteId(whole);
-    return whole;
+    std::string wholeEvents = m_partialEvent.substr(0, end);
+    m_partialEvent.erase(0, end);
+    recordLastId(wholeEvents);
+    return wholeEvents;
 }
 
-void EventSplitter::noteId(std::string_view events)
+void EventSplitter::recordLastId(std::string_view events)
 {
     constexpr std::string_view Field = "id:";
     std::size_t begin = 0;
--- a/protocol/eventsplitter.h
+++ b/protocol/eventsplitter.h
@@ -20,12 +20,12 @@
     /** What came after the last whole event. */
     const std::string &partialEvent() const
     {
-        return m_rest;
+        return m_partialEvent;
     }
     /** Drops what came after the last whole event. */
     void discardPartialEvent()
     {
-        m_rest.clear();
+        m_partialEvent.clear();
     }
     /** The id field of the last whole event that had one; empty when none had. */
     const std::string &lastId() const
@@ -34,9 +34,9 @@
     }
 
 private:
-    void noteId(std::string_view events);
+    void recordLastId(std::string_view events);
 
-    std::string m_rest;
+    std::string m_partialEvent;
     std::string m_lastId;
 };
 
--- a/protocol/fleetcodec.cpp
+++ b/protocol/fleetcodec.cpp
@@ -18,9 +18,9 @@
 {
 
 // A datagram cannot hold more than this unpacked; the bound keeps forged ones from costing memory or time.
-constexpr std::uint64_t MostWords = 64U << 10U;
+constexpr std::uint64_t MaxTraversalWords = 64U << 10U;
 // A forged message must not make its sender count as alive for longer than a few of these.
-constexpr Duration LongestInterval = Duration::seconds(5);
+constexpr Duration MaxInterval = Duration::seconds(5);
 
 std::string textOf(capnp::Text::Reader text)
 {
@@ -29,7 +29,7 @@
 
 using CopyGroup = std::tuple<BaseModelId, AdapterVersion, bool>;
 
-void encodeRow(const EngineResidency &residency, Wire::EngineRowWire::Builder wire)
+void encodeResidency(const EngineResidency &residency, Wire::EngineRowWire::Builder wire)
 {
     wire.setEngine(residency.engine.value());
     wire.setStartedAt(residency.startedAt);
@@ -53,7 +53,7 @@
     }
 }
 
-EngineResidency decodeRow(Wire::EngineRowWire::Reader wire)
+EngineResidency decodeResidency(Wire::EngineRowWire::Reader wire)
 {
     EngineResidency residency;
     residency.engine = UpstreamId(textOf(wire.getEngine()));
@@ -147,7 +147,7 @@
     }
     auto residencies = wire.initRows(static_cast<unsigned int>(message.residencies.size()));
     for (unsigned int i = 0; i < residencies.size(); ++i) {
-        encodeRow(message.residencies[i], residencies[i]);
+        encodeResidency(message.residencies[i], residencies[i]);
     }
 }
 
@@ -167,7 +167,7 @@
             UpstreamId(textOf(use.getEngine())), use.getCount(), use.getIsCrowded(), use.getWaiting(), Duration(use.getInTimeForMs()) });
     }
     for (const auto residency : wire.getRows()) {
-        message.residencies.push_back(decodeRow(residency));
+        message.residencies.push_back(decodeResidency(residency));
     }
 }
 
@@ -194,7 +194,7 @@
     message.zone = ZoneId(textOf(wire.getZone()));
     message.scope = ZoneId(textOf(wire.getScope()));
     message.capacity = wire.getCapacity();
-    message.interval = Duration(std::clamp<std::int64_t>(wire.getIntervalMs(), 0, LongestInterval.milliseconds()));
+    message.interval = Duration(std::clamp<std::int64_t>(wire.getIntervalMs(), 0, MaxInterval.milliseconds()));
     message.callerAddress = textOf(wire.getCallerAddress());
     message.peerAddress = textOf(wire.getPeerAddress());
     message.readRevision = wire.getReadRevision();
@@ -245,7 +245,7 @@
     try {
         kj::ArrayInputStream in(kj::arrayPtr(reinterpret_cast<const kj::byte *>(bytes.data()), bytes.size()));
         capnp::ReaderOptions options;
-        options.traversalLimitInWords = MostWords;
+        options.traversalLimitInWords = MaxTraversalWords;
         capnp::PackedMessageReader reader(in, options);
         FleetMessage message = decode(reader.getRoot<Wire::FleetMessageWire>());
         if (message.sender.isEmpty()) {
--- a/protocol/ledgercodec.cpp
+++ b/protocol/ledgercodec.cpp
@@ -21,7 +21,7 @@
     return { reinterpret_cast<const char *>(data.begin()), data.size() };
 }
 
-std::size_t weight(const LedgerRecord &record)
+std::size_t estimatedBytes(const LedgerRecord &record)
 {
     return sizeof(LedgerRecord) + record.answer.body.size() + record.answer.contentType.size();
 }
@@ -77,8 +77,8 @@
     do {
         std::size_t end = first;
         std::size_t bytes = 0;
-        while (end < ledger.records.size() && (end == first || bytes + weight(ledger.records[end]) <= batchBytes)) {
-            bytes += weight(ledger.records[end]);
+        while (end < ledger.records.size() && (end == first || bytes + estimatedBytes(ledger.records[end]) <= batchBytes)) {
+            bytes += estimatedBytes(ledger.records[end]);
             ++end;
         }
         batches.push_back(encodeBatch(ledger, first, end));
--- a/protocol/membershipcodec.cpp
+++ b/protocol/membershipcodec.cpp
@@ -115,7 +115,7 @@
     return update;
 }
 
-Rumour readFact(ByteReader &reader, std::uint8_t kind, bool &isKnown)
+Rumour readRumourBody(ByteReader &reader, std::uint8_t kind, bool &isKnown)
 {
     switch (kind) {
     case 0: {
@@ -144,7 +144,7 @@
 {
     const auto kind = reader.number<std::uint8_t>();
     const Duration age = Duration::seconds(reader.number<std::uint32_t>());
-    return { readFact(reader, kind, isKnown), age };
+    return { readRumourBody(reader, kind, isKnown), age };
 }
 
 SyncRequest readSyncRequest(ByteReader &reader)
@@ -182,7 +182,7 @@
     }
 }
 
-Error notOurs(std::string detail)
+Error invalidDatagram(std::string detail)
 {
     return { ErrorKind::BadRequest, "membership datagram: " + std::move(detail) };
 }
@@ -214,15 +214,15 @@
 Result<MemberDatagram> decodeMemberDatagram(std::string_view bytes, std::string_view secret)
 {
     if (bytes.size() < MacBytes || bytes.size() > MaxMemberDatagramBytes) {
-        return notOurs("its size is out of range");
+        return invalidDatagram("its size is out of range");
     }
     const std::string_view content = bytes.substr(0, bytes.size() - MacBytes);
     if (!equalConstantTime(macOf(content, secret), bytes.substr(content.size()))) {
-        return notOurs("it is not signed with the fleet's secret");
+        return invalidDatagram("it is not signed with the fleet's secret");
     }
     ByteReader reader(content);
     if (reader.number<std::uint8_t>() != FormatVersion) {
-        return notOurs("its format version is unknown");
+        return invalidDatagram("its format version is unknown");
     }
     const auto kind = reader.number<std::uint8_t>();
     bool isKnown = true;
@@ -239,7 +239,7 @@
         datagram.rumours.push_back(readRumour(reader, isKnown));
     }
     if (!reader.isGood() || !reader.isAtEnd() || !isKnown) {
-        return notOurs("it is cut or malformed");
+        return invalidDatagram("it is cut or malformed");
     }
     return datagram;
 }
--- a/protocol/permitcodec.cpp
+++ b/protocol/permitcodec.cpp
@@ -59,10 +59,10 @@
     writeDuration(writer, request.waited);
 }
 
-void writeMessage(ByteWriter &writer, const PermitRelease &returned)
+void writeMessage(ByteWriter &writer, const PermitRelease &release)
 {
-    writeName(writer, returned.name);
-    writer.number(static_cast<std::uint8_t>(returned.end));
+    writeName(writer, release.name);
+    writer.number(static_cast<std::uint8_t>(release.end));
 }
 
 void writeMessage(ByteWriter &writer, const PermitGrant &grant)
@@ -71,11 +71,11 @@
     writeDuration(writer, grant.lifetime);
 }
 
-void writeMessage(ByteWriter &writer, const PermitWaitEstimate &outlook)
+void writeMessage(ByteWriter &writer, const PermitWaitEstimate &estimate)
 {
-    writeName(writer, outlook.name);
-    writeUrgency(writer, outlook.urgency);
-    writeDuration(writer, outlook.wait);
+    writeName(writer, estimate.name);
+    writeUrgency(writer, estimate.urgency);
+    writeDuration(writer, estimate.wait);
 }
 
 PermitRequest readRequest(ByteReader &reader, bool &isKnown)
@@ -105,11 +105,11 @@
         return PermitGrant { std::move(name), readDuration(reader) };
     }
     case 3: {
-        PermitWaitEstimate outlook;
-        outlook.name = readName(reader);
-        outlook.urgency = readUrgency(reader, isKnown);
-        outlook.wait = readDuration(reader);
-        return outlook;
+        PermitWaitEstimate estimate;
+        estimate.name = readName(reader);
+        estimate.urgency = readUrgency(reader, isKnown);
+        estimate.wait = readDuration(reader);
+        return estimate;
     }
     default:
         isKnown = false;
@@ -124,7 +124,7 @@
     ByteWriter writer;
     writer.number(FormatVersion);
     writer.number(static_cast<std::uint8_t>(message.index()));
-    std::visit([&](const auto &what) { writeMessage(writer, what); }, message);
+    std::visit([&](const auto &body) { writeMessage(writer, body); }, message);
     return std::move(writer.bytes());
 }
 
