--- a/tests/core/testerrors.cpp
+++ b/tests/core/testerrors.cpp
@@ -7,20 +7,20 @@
 
 using namespace ApricotStep;
 
-Test(errors, everyKindHasItsOwnRowAndWord)
+Test(errors, everyKindHasItsOwnRowAndCode)
 {
-    std::set<std::string_view> words;
+    std::set<std::string_view> codes;
     int expected = 1;
     for (const ErrorAnswer *row = errorAnswersBegin(); row != errorAnswersEnd(); ++row) {
         cr_assert_eq(static_cast<int>(row->kind), expected, "row %d stands in another's place", expected);
-        cr_assert(words.insert(row->code).second, "a word is used twice");
+        cr_assert(codes.insert(row->code).second, "a word is used twice");
         cr_assert(row->httpStatus >= 400 && row->httpStatus <= 599);
         cr_assert_eq(&errorAnswer(row->kind), row);
         ++expected;
     }
 }
 
-Test(errors, whatMayHaveRunIsNeverAdvisedToBeSentAgain)
+Test(errors, retryIsNeverAdvisedWhenTheRequestMayHaveRun)
 {
     // A program that follows the advice must not run a payment twice.
     for (const ErrorAnswer *row = errorAnswersBegin(); row != errorAnswersEnd(); ++row) {
@@ -30,9 +30,9 @@
     }
 }
 
-Test(errors, aKindIsAnErrorCode)
+Test(errors, kindConvertsToErrorCode)
 {
-    const std::error_code code = ErrorKind::Overloaded;
-    cr_assert_eq(code.value(), static_cast<int>(ErrorKind::Overloaded));
-    cr_assert(std::string_view(code.category().name()) == "apricotstep");
+    const std::error_code errorCode = ErrorKind::Overloaded;
+    cr_assert_eq(errorCode.value(), static_cast<int>(ErrorKind::Overloaded));
+    cr_assert(std::string_view(errorCode.category().name()) == "apricotstep");
 }
--- a/tests/core/testhash.cpp
+++ b/tests/core/testhash.cpp
@@ -4,7 +4,7 @@
 
 using namespace ApricotStep;
 
-Test(hash, isTheSameOnEveryNode)
+Test(hash, hashesAreDeterministic)
 {
     // Nodes of different builds must agree on owners: these values never change.
     cr_assert_eq(stableHash("engine-1"), stableHash("engine-1"));
--- a/tests/protocol/testcallerapi.cpp
+++ b/tests/protocol/testcallerapi.cpp
@@ -6,7 +6,7 @@
 
 using namespace ApricotStep;
 
-Test(callerapi, readsWhatItNeedsAndKeepsTheRest)
+Test(callerapi, parsesKnownFieldsAndKeepsTheOthers)
 {
     const std::string body = R"({"model":"shop=accra","stream":true,"max_tokens":9,"temperature":0.5})";
     const auto request = parseCompletionRequest(body);
@@ -19,7 +19,7 @@
     cr_assert(forwarded["temperature"] == 0.5);
 }
 
-Test(callerapi, badBodiesAreRefusedWithWhatIsWrong)
+Test(callerapi, malformedBodiesAreRejectedWithADetail)
 {
     for (const char *body :
         { "", "{", "[]", "{}", R"({"model":7})", R"({"model":"a","stream":"yes"})", R"({"model":"a","max_tokens":0})" }) {
@@ -30,7 +30,7 @@
     }
 }
 
-Test(callerapi, anErrorTellsWhetherTheRequestRan)
+Test(callerapi, errorBodyStatesWhetherTheRequestRan)
 {
     const auto body = nlohmann::json::parse(errorBody(ErrorKind::Overloaded, { "queue is full", Duration(1500), {}, {}, "r1" }));
     cr_assert(body["error"]["code"] == "overloaded");
--- a/tests/protocol/testconfigvalues.cpp
+++ b/tests/protocol/testconfigvalues.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-Test(configvalues, aBaseIsCutIntoPagesUnderAMegabyteThatReadBackWhole)
+Test(configvalues, baseIsSplitIntoPagesBelowTheSizeLimitAndRoundTrips)
 {
     const CatalogContent content = largeContent();
     const ConfigBaseTexts texts = configBaseTexts(content);
@@ -46,7 +46,7 @@
     cr_assert(read.services == content.services);
 }
 
-Test(configvalues, aDeltaAndAHeadReadBackAndStaySmall)
+Test(configvalues, deltaAndHeadRoundTripAndStaySmall)
 {
     ConfigDelta delta { {}, sha256Hex("before"), { ConfigVersion(8), ConfigVersion(9) } };
     delta.change.adapters = { largeContent().adapters.front() };
@@ -66,7 +66,7 @@
 }
 
 // A replica or a peer hands out a page that was cut on its way. Half of the adapters would be unknown to callers.
-Test(configvalues, contentThatItsHashDoesNotNameIsRefused)
+Test(configvalues, contentThatDoesNotMatchItsHashIsRejected)
 {
     const std::string page = configBaseTexts(largeContent()).pages.front();
     const auto cut = parseConfigValue(ConfigValueKind::Page, sha256Hex(page), page.substr(0, page.size() - 1));
--- a/tests/protocol/testengineapi.cpp
+++ b/tests/protocol/testengineapi.cpp
@@ -4,7 +4,7 @@
 
 using namespace ApricotStep;
 
-Test(engineapi, aLoadReportIsRead)
+Test(engineapi, parsesLoadReport)
 {
     const auto report =
         parseEngineLoadReport(R"({"loaded":["a@1","b@2"],"running":{"b@2":3,"base":1},"waiting":4,"fencing_token":65543,"other":true})");
@@ -16,7 +16,7 @@
     cr_assert(report.value().fencingToken == FencingToken(65543));
 }
 
-Test(engineapi, anythingElseIsNoLoadReport)
+Test(engineapi, rejectsMalformedLoadReports)
 {
     // An engine that restarts or a wrong address answers with something else. Reading it as "nothing runs here" would allow evictions.
     for (const char *text : { "", "{}", "[]", R"({"loaded":["a@1"]})", R"({"loaded":7,"running":{}})", R"({"loaded":[],"running":[1]})" }) {
@@ -25,7 +25,7 @@
     cr_assert_not(parseEngineLoadReport(R"({"loaded":[],"running":{}})").value().fencingToken.has_value());
 }
 
-Test(engineapi, onlyAFencedRefusalCountsAsFenced)
+Test(engineapi, onlyConflictWithFencedMarkerCountsAsFenced)
 {
     cr_assert(isFencedAnswer(409, R"({"error":"fenced"})"));
     cr_assert_not(isFencedAnswer(409, R"({"error":"no free slot"})"));
--- a/tests/protocol/testfleetcodec.cpp
+++ b/tests/protocol/testfleetcodec.cpp
@@ -42,12 +42,12 @@
 
 } // namespace
 
-Test(fleetcodec, whatIsSentArrives)
+Test(fleetcodec, messageRoundTrips)
 {
     const FleetMessage sent = fullMessage();
-    const auto got = decodeFleetMessage(encodeFleetMessage(sent));
-    cr_assert(got.isOk());
-    const FleetMessage &message = got.value();
+    const auto decoded = decodeFleetMessage(encodeFleetMessage(sent));
+    cr_assert(decoded.isOk());
+    const FleetMessage &message = decoded.value();
     cr_assert(message.sender == sent.sender && message.incarnation == sent.incarnation && message.peerAddress == sent.peerAddress);
     cr_assert(message.scope == sent.scope && message.capacity == sent.capacity && message.interval == sent.interval);
     cr_assert_eq(message.rememberedNodes, 17);
@@ -61,7 +61,7 @@
 }
 
 // Datagrams arrive cut, changed or from elsewhere. None may crash a node, and one without a sender changes nothing.
-Test(fleetcodec, brokenBytesAreRefused)
+Test(fleetcodec, malformedMessagesAreRejectedWithoutACrash)
 {
     const std::string whole = encodeFleetMessage(fullMessage());
     std::mt19937_64 random(3);
@@ -77,7 +77,7 @@
 }
 
 // Parts of a stream end anywhere; only whole events come out, byte for byte, and the id of the last one is known.
-Test(eventsplitter, onlyWholeEventsComeOut)
+Test(eventsplitter, emitsOnlyWholeEvents)
 {
     EventSplitter splitter;
     cr_assert(splitter.push("id: 1\nda").empty());
--- a/tests/protocol/testmembershipcodec.cpp
+++ b/tests/protocol/testmembershipcodec.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-Test(membershipcodec, whatIsWrittenIsRead)
+Test(membershipcodec, datagramRoundTrips)
 {
     const auto read = decodeMemberDatagram(encodeMemberDatagram(example(), Secret), Secret);
     cr_assert(read.isOk());
@@ -49,7 +49,7 @@
     cr_assert(datagram.rumours[2].rumour == Rumour(HandOffFact { NodeId("n4"), Incarnation(7), NodeId("n2") }));
 }
 
-Test(membershipcodec, aPingIsSmall)
+Test(membershipcodec, pingIsSmall)
 {
     MemberDatagram datagram;
     datagram.sender = NodeId("node-123");
@@ -57,7 +57,7 @@
     cr_assert_leq(encodeMemberDatagram(datagram, Secret).size(), 50);
 }
 
-Test(membershipcodec, forgedCutAndChangedDatagramsAreRefused)
+Test(membershipcodec, forgedTruncatedAndModifiedDatagramsAreRejected)
 {
     // Anybody on the network can send to the port. Taking in a changed datagram would let them declare nodes dead.
     const std::string bytes = encodeMemberDatagram(example(), Secret);
@@ -73,7 +73,7 @@
     }
 }
 
-Test(membershipcodec, aSignedButMalformedDatagramIsRefused)
+Test(membershipcodec, signedButMalformedDatagramIsRejected)
 {
     // A node of another release writes something unknown. Reading past its end would crash every node that hears it.
     MemberDatagram datagram = example();
--- a/tests/protocol/testpermitcodec.cpp
+++ b/tests/protocol/testpermitcodec.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-Test(permitcodec, whatIsWrittenIsReadAndACutMessageIsRefused)
+Test(permitcodec, messagesRoundTripAndTruncatedOnesAreRejected)
 {
     const std::vector<PermitMessage> messages { PermitRequest { Name, Priority::Patient, 4, Duration(900) },
         PermitRequest { Name, std::nullopt, 0, Duration() }, PermitRelease { Name, PermitEnd::Withdrawn },
@@ -26,6 +26,7 @@
         }
     }
     const auto request = decodePermitMessage(encodePermitMessage(messages.front()));
-    const auto &back = std::get<PermitRequest>(request.value());
-    cr_assert(back.name == Name && back.urgency == Priority::Patient && back.waiting == 4 && back.waited == Duration(900));
+    const auto &decodedRequest = std::get<PermitRequest>(request.value());
+    cr_assert(decodedRequest.name == Name && decodedRequest.urgency == Priority::Patient && decodedRequest.waiting == 4
+        && decodedRequest.waited == Duration(900));
 }
--- a/tests/state/testcatalog.cpp
+++ b/tests/state/testcatalog.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-Test(catalog, aSelectorResolvesToExactlyOneVersion)
+Test(catalog, selectorResolvesToExactlyOneVersion)
 {
     const auto all = catalog();
     cr_assert(all->resolve("tax").value().name() == "tax@2");
@@ -41,7 +41,7 @@
     cr_assert(all->resolve("shop=accra,track=stable").value().name() == "ramen@1");
 }
 
-Test(catalog, noneOrSeveralIsARefusalThatListsWhatCameNear)
+Test(catalog, unknownAndAmbiguousSelectorsListSimilarAdapters)
 {
     const auto all = catalog();
     const auto several = all->resolve("ramen");
@@ -54,7 +54,7 @@
     cr_assert(all->resolve("").error().kind == ErrorKind::BadRequest);
 }
 
-Test(catalog, faultsAreRefusedWhole)
+Test(catalog, invalidContentIsRejected)
 {
     CatalogContent twice = content();
     twice.adapters.push_back(twice.adapters.front());
@@ -67,7 +67,7 @@
     cr_assert_not(Catalog::create(reference).isOk());
 }
 
-Test(catalog, aDeltaMakesTheNextSnapshotAndLeavesTheOldOneAlone)
+Test(catalog, deltaCreatesTheNextSnapshotAndKeepsTheOldOne)
 {
     const auto old = catalog();
     CatalogDelta delta { ConfigVersion(7), ConfigVersion(8) };
@@ -87,7 +87,7 @@
     cr_assert_null(old->upstream(UpstreamId("e2")));
 }
 
-Test(catalog, aDeltaThatDoesNotFollowOrBreaksAReferenceIsRefusedWhole)
+Test(catalog, deltaThatDoesNotFollowOrIsInvalidIsRejected)
 {
     const auto old = catalog();
     cr_assert_not(old->apply({ ConfigVersion(6), ConfigVersion(8) }).isOk());
@@ -102,7 +102,7 @@
 
 // Snapshots share blocks, so a slip in copying one would show in another version: a caller would get an adapter that the version in
 // force does not name. Two hundred random deltas are compared with a catalog that is built afresh.
-Test(catalog, aLongChainOfDeltasEqualsACatalogBuiltAtOnce)
+Test(catalog, chainOfDeltasEqualsCatalogBuiltAtOnce)
 {
     CatalogContent wanted;
     wanted.version = ConfigVersion(1);
--- a/tests/state/testroutetable.cpp
+++ b/tests/state/testroutetable.cpp
@@ -30,7 +30,7 @@
 } // namespace
 
 // Two routes take a path; the longer prefix wins, whatever the order they came in. Host names count without case and port.
-Test(routetable, theLongestPrefixOfTheHostWins)
+Test(routetable, longestPrefixOfHostWins)
 {
     const auto table = RouteTable::make(source({ route("/a/"), route("/a/b/"), route("/c/") })).value();
     cr_assert(table->find("host.example", "/a/b/x")->pathPrefix == "/a/b/");
@@ -40,7 +40,7 @@
 }
 
 // A configuration with a fault is refused whole, with the route that is at fault; half of one would drop routes that callers use.
-Test(routetable, aFaultRefusesTheWholeTable)
+Test(routetable, invalidRouteRejectsTheWholeTable)
 {
     Route nowhere = route("/n/");
     nowhere.targets = { RouteTarget { ServiceName("none"), 1 } };
@@ -54,7 +54,7 @@
 }
 
 // A split sends each service its share.
-Test(routetable, drawsFollowTheWeights)
+Test(routetable, selectionFollowsWeights)
 {
     Route split = route("/s/");
     split.targets = { RouteTarget { ServiceName("a"), 1 }, RouteTarget { ServiceName("b"), 3 } };
--- a/tests/state/testservicelevel.cpp
+++ b/tests/state/testservicelevel.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-Test(servicelevel, burnIsWhatArithmeticSays)
+Test(servicelevel, burnRateMatchesTheFailureRate)
 {
     // An hour of one request a second, and in its last five minutes every tenth request fails.
     ServiceLevels levels(objectives());
@@ -47,7 +47,7 @@
     cr_assert_eq(levels.window(ServiceClass::Urgent, 360, end).total(), 3600);
 }
 
-Test(servicelevel, aLateAnswerIsBadAndACallersMistakeIsNone)
+Test(servicelevel, lateAnswersAreBadAndCallerErrorsDoNotCount)
 {
     ServiceLevels levels(objectives());
     levels.recordAnswer(ServiceClass::Urgent, Duration(1000), minute(1));
@@ -61,7 +61,7 @@
     cr_assert_eq(levels.window(ServiceClass::Patient, 1, minute(1)).bad, 0);
 }
 
-Test(servicelevel, oldMinutesFallOut)
+Test(servicelevel, oldMinutesLeaveTheWindow)
 {
     ServiceLevels levels(objectives());
     levels.recordFailure(ServiceClass::Service, ErrorKind::UpstreamFailed, minute(0));
