--- a/core/clock.cpp
+++ b/core/clock.cpp
@@ -8,7 +8,8 @@
 
 Time SystemClock::now() const
 {
-    // CLOCK_BOOTTIME and not CLOCK_MONOTONIC: a suspended VM must wake with its deadlines passed, not stretched.
+    // CLOCK_BOOTTIME instead of CLOCK_MONOTONIC, since it includes the time for which the VM was suspended: deadlines must expire during
+    // a suspension, not be extended by it.
     timespec value {};
     clock_gettime(CLOCK_BOOTTIME, &value);
     return Time(static_cast<std::int64_t>(value.tv_sec) * 1000 + value.tv_nsec / 1'000'000);
--- a/core/clock.h
+++ b/core/clock.h
@@ -46,7 +46,7 @@
     std::int64_t m_milliseconds = 0;
 };
 
-/** A moment in milliseconds. Moments of different clocks must not be compared. */
+/** A point in time in milliseconds. Times of different clocks must not be compared. */
 class Time
 {
 public:
@@ -82,18 +82,18 @@
     std::int64_t m_milliseconds = 0;
 };
 
-/** Source of the time. Decisions take the time as an argument; only wiring holds a clock. */
+/** Source of time. Decision modules take the time as an argument; only the code that connects them holds a clock. */
 class Clock
 {
 public:
     virtual ~Clock() = default;
-    /** Steady time since an arbitrary start; counts on while the process is paused. */
+    /** Monotonic time since an arbitrary start; includes the time for which the process was paused. */
     virtual Time now() const = 0;
-    /** Time since 1970, for values that cross processes. May step in either direction. */
+    /** Wall-clock time since the Unix epoch, for values that other processes read. May jump in either direction. */
     virtual Time wallTime() const = 0;
 };
 
-/** The machine's clocks. */
+/** The clocks of the operating system. */
 class SystemClock final : public Clock
 {
 public:
@@ -101,7 +101,7 @@
     Time wallTime() const override;
 };
 
-/** A clock that moves only when told to, for tests and virtual time. */
+/** A clock that only advance() moves, for tests and virtual time. */
 class ManualClock final : public Clock
 {
 public:
--- a/core/errors.cpp
+++ b/core/errors.cpp
@@ -13,8 +13,8 @@
 using enum ErrorKind;
 using enum RunState;
 
-// One row a kind, in the order of ErrorKind. NotRun is a promise: a kind may carry it only when nothing can have reached an upstream
-// or when the upstream's declared contract says that it refused before execution.
+// One row per kind, in the order of ErrorKind. NotRun guarantees that the request did not run: a kind may have it only if nothing can
+// have reached an upstream, or if the upstream's declared contract states that it refused the request before execution.
 constexpr std::array Answers {
     ErrorAnswer { BadRequest, 400, "bad_request", NotRun, RetryAdvice::Never, "The request is malformed." },
     ErrorAnswer { NotFound, 404, "not_found", NotRun, RetryAdvice::Never, "There is nothing at this path." },
@@ -30,7 +30,8 @@
     ErrorAnswer { KeyInvalid, 400, "idempotency_key_invalid", NotRun, RetryAdvice::Never, "This idempotency key was not minted here." },
     ErrorAnswer {
         KeyMismatch, 422, "idempotency_key_reused", NotRun, RetryAdvice::Never, "This idempotency key belongs to a different request." },
-    // The arrival does not run, but an earlier one under the same key may have: the caller asks about the action, so not NotRun.
+    // Not NotRun: this request does not run, but an earlier one with the same key may have, and the caller needs to know whether the
+    // action was carried out.
     ErrorAnswer { KeyExpired, 410, "idempotency_key_expired", MayHaveRun, RetryAdvice::Never,
         "This idempotency key is past its lifetime; an earlier request under it may have run." },
     ErrorAnswer { OutcomeUnknown, 409, "outcome_unknown", MayHaveRun, RetryAdvice::Never,
@@ -65,12 +66,12 @@
         StaleConfig, 500, "stale_config", NotRun, RetryAdvice::Never, "The published configuration is older than the one in force." },
     ErrorAnswer { PeerUnreachable, 503, "peer_unreachable", NotRun, RetryAdvice::OtherNode,
         "The node that serves this could not be reached; nothing was sent." },
-    // Not NotRun: an earlier arrival under the same key may have run at the node that cannot be asked.
+    // Not NotRun: an earlier request with the same key may have run at the unreachable node.
     ErrorAnswer { OwnerUnreachable, 503, "owner_unreachable", MayHaveRun, RetryAdvice::Never,
         "The node that knows whether this one-time request ran could not be reached; asking again with the same key is safe." },
 };
 
-static_assert(Answers.size() == static_cast<std::size_t>(OwnerUnreachable), "one row for every kind");
+static_assert(Answers.size() == static_cast<std::size_t>(OwnerUnreachable), "every kind needs one row");
 
 class Category final : public std::error_category
 {
--- a/core/errors.h
+++ b/core/errors.h
@@ -6,7 +6,7 @@
 namespace ApricotStep
 {
 
-/** Everything that can go wrong towards a caller, an operator or another node. The list is closed: see errorAnswer(). */
+/** All errors that a caller, an operator or another node can receive. The list is closed; errorAnswer() has a row for each. */
 enum class ErrorKind {
     BadRequest = 1,
     NotFound,
@@ -45,7 +45,7 @@
     OwnerUnreachable,
 };
 
-/** What a failed request may have done at an upstream. */
+/** Whether a failed request may have run at an upstream. */
 enum class RunState {
     NotRun,
     MayHaveRun,
@@ -60,28 +60,28 @@
     SameKey,
 };
 
-/** The answer to one kind of error. */
+/** How one kind of error is answered. */
 struct ErrorAnswer
 {
     ErrorKind kind;
     /** HTTP status, 400 to 599. */
     int httpStatus;
-    /** The word that programs match on; never changes once released. */
+    /** The code that programs match on; never changes once released. */
     std::string_view code;
     RunState runState;
     RetryAdvice retry;
-    /** One sentence for a person. */
+    /** One sentence for people to read. */
     std::string_view description;
 };
 
-/** The row of the closed table for @p kind; defined for every kind. */
+/** The table row of @p kind; every kind has one. */
 const ErrorAnswer &errorAnswer(ErrorKind kind);
 
-/** All rows, for the reference page and for tests. */
+/** Range of all rows, for the reference page and for tests. */
 const ErrorAnswer *errorAnswersBegin();
 const ErrorAnswer *errorAnswersEnd();
 
-/** The word for @p advice as it stands in an answer's body. */
+/** The name of @p advice in the body of an answer. */
 std::string_view retryAdviceName(RetryAdvice advice);
 
 const std::error_category &errorCategory();
--- a/core/result.h
+++ b/core/result.h
@@ -9,7 +9,7 @@
 namespace ApricotStep
 {
 
-/** What went wrong: a kind of the closed list, and a sentence that names the place and the fix. */
+/** An error: its kind, and a sentence that says where it occurred and how to fix it. */
 struct Error
 {
     ErrorKind kind = ErrorKind::Internal;
@@ -21,7 +21,7 @@
     }
 };
 
-/** A value, or the error that stands in its place. */
+/** A value, or the error because of which there is none. */
 template<typename T>
 class Result
 {
@@ -58,7 +58,7 @@
     std::variant<T, Error> m_content;
 };
 
-/** Joins the visitors of a std::variant. */
+/** Combines several function objects into one visitor for std::visit(). */
 template<typename... Visitors>
 struct Overloaded : Visitors...
 {
--- a/core/strongid.h
+++ b/core/strongid.h
@@ -10,7 +10,7 @@
 {
 
 /**
- * A textual identifier that cannot be mixed up with one of another kind.
+ * A textual identifier whose type differs from those of other kinds of identifiers.
  * An empty value means "none".
  */
 template<typename Tag>
@@ -43,7 +43,7 @@
     std::string m_value;
 };
 
-/** A whole number with a unit or meaning of its own; adds and compares only with its own kind. */
+/** An integer with its own unit or meaning; can be added to and compared with numbers of the same type only. */
 template<typename Tag>
 class StrongNumber
 {
@@ -83,16 +83,16 @@
 using AdapterVersion = StrongId<struct AdapterVersionTag>;
 using BaseModelId = StrongId<struct BaseModelIdTag>;
 
-/** Identifies one arrival of a request at one node; unique within the node's incarnation. */
+/** Identifies one request received by one node; unique within the node's incarnation. */
 using RequestId = StrongNumber<struct RequestIdTag>;
-/** Identifies one start of a process: later starts of the same node are greater. */
+/** Identifies one start of a node's process; later starts of the same node have greater values. */
 using Incarnation = StrongNumber<struct IncarnationTag>;
-/** Version of the published configuration; only goes up. */
+/** Version of the published configuration; never decreases. */
 using ConfigVersion = StrongNumber<struct ConfigVersionTag>;
-/** Orders the owners of an upstream: counter in the high 48 bits, node number in the low 16. */
+/** Orders the successive owners of an upstream: a counter in the high 48 bits, the node's number in the low 16. */
 using FencingToken = StrongNumber<struct FencingTokenTag>;
 
-/** One version of one adapter: what a request runs on. */
+/** One version of one adapter. A request runs on exactly one. */
 struct AdapterKey
 {
     AdapterId id;
@@ -100,7 +100,7 @@
 
     auto operator<=>(const AdapterKey &) const = default;
 
-    /** The name an engine knows it by, `id@version`. */
+    /** The adapter's name at engines, `id@version`. */
     std::string name() const
     {
         return id.value() + '@' + version.value();
--- a/tests/core/testhash.cpp
+++ b/tests/core/testhash.cpp
@@ -6,7 +6,7 @@
 
 Test(hash, hashesAreDeterministic)
 {
-    // Nodes of different builds must agree on owners: these values never change.
+    // Nodes with different builds must compute the same owners, so these values must never change.
     cr_assert_eq(stableHash("engine-1"), stableHash("engine-1"));
     cr_assert_neq(stableHash("ab", "c"), stableHash("a", "bc"));
     cr_assert(sha256Hex("abc") == "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
