--- a/state/catalog.cpp
+++ b/state/catalog.cpp
@@ -38,7 +38,7 @@
     return !text.empty() && text.size() <= MaxNameLength && std::none_of(text.begin(), text.end(), isBad);
 }
 
-// A record is id, version, base model and then labels, with line ends between: words contain none.
+// A record is id, version, base model and then the labels, separated by newlines: valid names contain none.
 std::string recordOf(const AdapterSpec &spec)
 {
     std::string record = spec.key.id.value() + '\n' + spec.key.version.value() + '\n' + spec.baseModel.value();
@@ -83,7 +83,8 @@
     return false;
 }
 
-// Index entries hold the top half of a hash above a record's number. Hashes collide, so a hit is always checked with the record.
+// An index entry has the upper half of a hash in its high bits and a record number in its low bits. Hashes can collide, so each hit is
+// checked against the record.
 std::uint64_t firstIndexEntry(std::string_view text)
 {
     return stableHash(text) >> RecordNumberBits << RecordNumberBits;
@@ -99,10 +100,11 @@
 std::string adapterSpecError(const AdapterSpec &spec)
 {
     if (!isValidName(spec.key.id.value()) || !isValidName(spec.key.version.value())) {
-        return "adapter '" + spec.key.name() + "': id and version must be words without '@', '=', ',' or blanks";
+        return "adapter '" + spec.key.name()
+            + "': id and version must have 1 to 256 characters without '@', '=', ',', blanks or control characters";
     }
     if (!spec.baseModel.isEmpty() && !isValidName(spec.baseModel.value())) {
-        return "adapter '" + spec.key.name() + "': base model '" + spec.baseModel.value() + "' is not a word";
+        return "adapter '" + spec.key.name() + "': base model '" + spec.baseModel.value() + "' is not a valid name";
     }
     if (spec.labels.size() > MaxLabels) {
         return "adapter '" + spec.key.name() + "' has more than " + std::to_string(MaxLabels) + " labels";
@@ -121,7 +123,7 @@
 std::string upstreamSpecError(const UpstreamSpec &spec)
 {
     if (!isValidName(spec.id.value())) {
-        return "upstream '" + spec.id.value() + "': the id must be a word";
+        return "upstream '" + spec.id.value() + "': the id is not a valid name";
     }
     if (spec.address.find(':') == std::string::npos) {
         return "upstream '" + spec.id.value() + "': address '" + spec.address + "' is not host:port";
@@ -135,7 +137,7 @@
 namespace
 {
 
-// Upstreams and services of one snapshot. Successive snapshots share them as long as no change touches them.
+// The upstreams and services of one snapshot. Successive snapshots share one table as long as no delta changes it.
 struct UpstreamTable
 {
     std::vector<UpstreamSpec> upstreams;
@@ -162,7 +164,7 @@
     for (std::uint32_t i = 0; i < services.size(); ++i) {
         const ServiceSpec &spec = services[i];
         if (!isValidName(spec.name.value()) || !serviceIndex.emplace(spec.name, i).second) {
-            return "service '" + spec.name.value() + "': the name must be a word and listed once";
+            return "service '" + spec.name.value() + "': the name is not valid or is listed twice";
         }
         for (const UpstreamId &id : spec.upstreams) {
             if (!upstreamIndex.contains(id)) {
@@ -362,7 +364,7 @@
 
 std::vector<std::uint32_t> Catalog::Private::matching(const std::vector<std::string> &labels) const
 {
-    // The rarest label has the shortest list; the records in it are checked for the others.
+    // Visits only the records with the rarest label and checks them for the other labels.
     const std::string *rarest = &labels.front();
     std::size_t fewest = SIZE_MAX;
     for (const std::string &label : labels) {
@@ -398,7 +400,7 @@
     std::string detail = "'" + std::string(selector) + "' matches " + (found.size() < MaxCountedMatches ? "" : "at least ")
         + std::to_string(found.size()) + " adapter versions in configuration " + std::to_string(version.value());
     for (std::size_t i = 0; i < std::min(listed.size(), MaxListedMatches); ++i) {
-        detail += (i == 0 ? "; near: " : ", ") + listed[i].name();
+        detail += (i == 0 ? "; candidates: " : ", ") + listed[i].name();
     }
     return Error { found.empty() ? ErrorKind::UnknownSelector : ErrorKind::AmbiguousSelector, detail };
 }
@@ -432,8 +434,8 @@
 Result<std::shared_ptr<const Catalog>> Catalog::apply(const CatalogDelta &delta) const
 {
     if (delta.from != d->version || delta.version <= d->version) {
-        return invalid("a change from " + std::to_string(delta.from.value()) + " to " + std::to_string(delta.version.value())
-            + " does not follow configuration " + std::to_string(d->version.value()));
+        return invalid("a delta from version " + std::to_string(delta.from.value()) + " to " + std::to_string(delta.version.value())
+            + " does not apply to configuration version " + std::to_string(d->version.value()));
     }
     std::shared_ptr<Catalog> next(new Catalog(*this));
     next->d->version = delta.version;
@@ -530,7 +532,7 @@
 Result<AdapterKey> Catalog::resolve(std::string_view selector) const
 {
     if (selector.empty()) {
-        return Error { ErrorKind::BadRequest, "the selector is empty; give adapter, adapter@version or name=value[,name=value]" };
+        return Error { ErrorKind::BadRequest, "the selector is empty; it must be adapter, adapter@version or name=value[,name=value]" };
     }
     if (selector.find('=') != std::string_view::npos) {
         const std::vector<std::string> labels = absl::StrSplit(std::string(selector), ',');
--- a/state/catalog.h
+++ b/state/catalog.h
@@ -29,7 +29,7 @@
 {
     AdapterKey key;
     std::vector<Label> labels;
-    /** The base model that the adapter belongs to; empty where the fleet has one only. */
+    /** The base model that the adapter was trained for; empty if the fleet has only one. */
     BaseModelId baseModel;
 
     bool operator==(const AdapterSpec &) const = default;
@@ -48,15 +48,15 @@
     /** host:port. */
     std::string address;
     ZoneId zone;
-    /** Adapters that fit at once, 1 to 1024; engines only. */
+    /** Number of adapters that can be loaded at the same time, 1 to 1024; engines only. */
     int slots = 8;
-    /** Requests that run at once, 1 to 4096. */
+    /** Number of requests that run at the same time, 1 to 4096. */
     int batch = 16;
     /** The upstream refuses an order whose fencing token is lower than one it has seen. */
     bool checksFencing = false;
-    /** The upstream itself runs a request at most once for each Idempotency-Key. */
+    /** The upstream itself ensures that a request runs at most once per Idempotency-Key. */
     bool checksKeys = false;
-    /** The base model that an engine serves; it runs the adapters of this one alone. */
+    /** The base model that an engine serves; it can run only adapters of this model. */
     BaseModelId baseModel;
 
     bool operator==(const UpstreamSpec &) const = default;
@@ -71,11 +71,11 @@
     bool operator==(const ServiceSpec &) const = default;
 };
 
-/** What is wrong with @p spec by itself; empty when it is good. */
+/** Returns why @p spec by itself is invalid; empty if it is valid. */
 std::string adapterSpecError(const AdapterSpec &spec);
 std::string upstreamSpecError(const UpstreamSpec &spec);
 
-/** Everything one configuration version says. */
+/** The whole content of one configuration version. */
 struct CatalogContent
 {
     ConfigVersion version;
@@ -84,7 +84,7 @@
     std::vector<ServiceSpec> services;
 };
 
-/** What one configuration version changes of the one before. What is put replaces what has the same id. */
+/** The changes from one configuration version to the next. A listed entry replaces the one with the same id, or is added. */
 struct CatalogDelta
 {
     ConfigVersion from;
@@ -102,36 +102,36 @@
  * An immutable snapshot of one configuration version, shared between threads.
  *
  * Selectors are `adapter`, `adapter@version` or `name=value[,name=value...]`; each must resolve to exactly one adapter version.
- * Adapters are packed into blocks that successive snapshots share, so that 130,000 of them stay small and a change costs little.
+ * Adapters are packed into blocks that successive snapshots share, so that 130,000 adapters take little memory and a change is cheap.
  */
 class Catalog
 {
 public:
-    /** Checks @p content (unique ids, ranges, known references). Errors: ConfigInvalid with the first fault. */
+    /** Checks @p content (unique ids, ranges, existing references). Errors: ConfigInvalid with the first problem found. */
     static Result<std::shared_ptr<const Catalog>> create(CatalogContent content);
-    /** The snapshot that @p delta makes of this one. Errors: ConfigInvalid, also when @p delta starts from another version. */
+    /** Returns the snapshot that results from applying @p delta. Errors: ConfigInvalid, also if @p delta starts from another version. */
     Result<std::shared_ptr<const Catalog>> apply(const CatalogDelta &delta) const;
     ~Catalog();
 
     ConfigVersion version() const;
     std::size_t adapterCount() const;
-    /** Adapter versions sorted by key; any @p limit of them when there are more. */
+    /** Adapter versions sorted by key; an arbitrary selection of @p limit of them if there are more. */
     std::vector<AdapterSpec> adapters(std::size_t limit) const;
     const std::vector<UpstreamSpec> &upstreams() const;
     const std::vector<ServiceSpec> &services() const;
 
-    /** Null when there is none. The pointer lives as long as the catalog. */
+    /** Null if there is none. The pointer is valid for the lifetime of the catalog. */
     const UpstreamSpec *upstream(const UpstreamId &id) const;
     const ServiceSpec *service(const ServiceName &name) const;
     bool contains(const AdapterKey &key) const;
-    /** Nothing when @p key is unknown. */
+    /** Empty if @p key is unknown. */
     std::optional<AdapterSpec> adapter(const AdapterKey &key) const;
-    /** The base model of @p key; empty when it has none or is unknown. */
+    /** The base model of @p key; empty if the adapter names none or is unknown. */
     BaseModelId baseModelOf(const AdapterKey &key) const;
-    /** The whole content, in a fixed order; a copy. */
+    /** Returns a copy of the whole content, in a fixed order. */
     CatalogContent content() const;
 
-    /** Errors: BadRequest (not a selector), UnknownSelector, AmbiguousSelector; the detail lists up to five that came near. */
+    /** Errors: BadRequest (not a selector), UnknownSelector, AmbiguousSelector; the detail lists up to five candidates. */
     Result<AdapterKey> resolve(std::string_view selector) const;
 
 private:
--- a/state/catalogdifference.h
+++ b/state/catalogdifference.h
@@ -5,10 +5,10 @@
 namespace ApricotStep
 {
 
-/** The change that makes @p next of @p old; its versions are those of the two. */
+/** Returns the delta that turns @p old into @p next. */
 CatalogDelta catalogDifference(const CatalogContent &old, const CatalogContent &next);
 
-/** True when @p delta changes nothing but the version. */
+/** Returns whether @p delta changes nothing but the version. */
 bool isEmpty(const CatalogDelta &delta);
 
 } // namespace ApricotStep
--- a/state/configvalue.h
+++ b/state/configvalue.h
@@ -9,31 +9,31 @@
 namespace ApricotStep
 {
 
-// A published configuration is a small head, which names the rest by SHA-256: the newest change, which names the one before it and so
-// on, and a base of pages from which a node that has nothing starts.
+// A published configuration consists of values that refer to each other by SHA-256. A small head names the newest delta and a base. Each
+// delta names the delta before it. The base lists pages that together hold a whole version, for nodes that have no configuration yet.
 
-/** The one value that changes in place. */
+/** The only value that is overwritten; all others are immutable. */
 struct ConfigHead
 {
     ConfigVersion version;
     ConfigVersion baseVersion;
     std::string baseHash;
-    /** The change that led to version; empty when there has been none. */
+    /** The delta that leads to version; empty if there has been none. */
     std::string deltaHash;
-    /** Of the head's own text. Two heads of one version with different hashes come from operators who published at the same time. */
+    /** Hash of the head's own text. Heads of one version with different hashes come from operators who published at the same time. */
     std::string hash;
 };
 
-/** A change and the change before it. */
+/** A change of the catalog, with the hash of the delta before it. */
 struct ConfigDelta
 {
     std::string hash;
-    /** Empty for the first change ever. */
+    /** Hash of the delta before this one; empty for the first one. */
     std::string previous;
     CatalogDelta change;
 };
 
-/** The pages that together are the whole content of one version. */
+/** The hashes of the pages that together hold the whole content of one version. */
 struct ConfigBase
 {
     std::string hash;
@@ -41,11 +41,11 @@
     std::vector<std::string> pages;
 };
 
-/** A part of a base. */
+/** A part of the content of a base. */
 struct ConfigPage
 {
     std::string hash;
-    /** Its version is unset. */
+    /** The version in it is unset. */
     CatalogContent content;
 };
 
--- a/state/fleetview.h
+++ b/state/fleetview.h
@@ -10,7 +10,7 @@
 namespace ApricotStep
 {
 
-/** A node as the live view knows it. */
+/** A node as FleetView shows it. */
 struct NodeView
 {
     NodeId id;
@@ -19,26 +19,27 @@
     std::string callerAddress;
     /** host:port for other nodes; may be empty. */
     std::string rpcAddress;
-    /** Zero when only the VM list knows of it. */
+    /** Zero if the node is known from the VM list only. */
     Incarnation incarnation;
 
     bool operator==(const NodeView &) const = default;
 };
 
-/** Which nodes live and which upstreams are leaving, as this node sees it now. An immutable snapshot. */
+/** The live nodes and the leaving upstreams as this node currently sees them. An immutable snapshot. */
 struct FleetView
 {
-    /** Those that live and stay, sorted by id. */
+    /** Live nodes that are not leaving, sorted by id. */
     std::vector<NodeView> nodes;
-    /** Those that live and are leaving: they own nothing and get no new work, but still answer for their own keys. */
+    /** Live nodes that are leaving, sorted by id. They own no upstreams and get no new work, but still answer for their own keys. */
     std::vector<NodeView> leavingNodes;
+    /** Upstreams that are leaving. */
     absl::flat_hash_set<UpstreamId> leaving;
-    /** The VM list names a node that does not live here: it may be dead, or on the other side of a partition. */
+    /** The VM list contains a node that this node does not see as live: it may have failed, or a network partition may hide it. */
     bool isNodeMissing = false;
 
     bool operator==(const FleetView &) const = default;
 
-    /** Null when @p id does not live. */
+    /** Null if @p id is not in nodes, also if it is leaving. */
     const NodeView *node(const NodeId &id) const
     {
         for (const NodeView &view : nodes) {
--- a/state/recordtable.h
+++ b/state/recordtable.h
@@ -10,32 +10,32 @@
 {
 
 /**
- * Short texts under numbers, packed into blocks that copies of the table share. A change copies the one block that it falls into.
- * A number that was freed is given out again.
+ * A table of short texts that are addressed by number, packed into blocks that copies of the table share. A change copies only the block
+ * that holds the record. The numbers of removed records are reused.
  */
 class RecordTable
 {
 public:
-    /** Adds a text, at most 64 KB, and returns its number. */
+    /** Adds a text of at most 64 KB and returns its number. */
     std::uint32_t add(std::string_view text);
-    /** Replaces the text under a number that add() returned. */
+    /** Replaces the text of a record; @p number was returned by add(). */
     void replace(std::uint32_t number, std::string_view text);
     void remove(std::uint32_t number);
 
-    /** Valid as long as this table or a copy of it with the same text lives. Empty when there is none. */
+    /** The text of a record; empty if it was removed. Valid as long as this table or a copy of it is alive and shares the block. */
     std::string_view at(std::uint32_t number) const;
     std::size_t size() const;
-    /** Numbers lie below this. */
+    /** All record numbers are below this. */
     std::uint32_t end() const;
 
-    /** A table of @p texts, whose numbers follow their order. */
+    /** Creates a table of @p texts, numbered in their order from 0. */
     static RecordTable build(const std::vector<std::string> &texts);
 
 private:
     struct Block
     {
         std::string text;
-        // Where each text ends.
+        // End offsets of the texts.
         std::vector<std::uint32_t> ends;
     };
 
--- a/state/routetable.cpp
+++ b/state/routetable.cpp
@@ -18,7 +18,7 @@
     if (a.host != b.host) {
         return a.host < b.host;
     }
-    // Longest prefix first: the first that matches is the one to take.
+    // Longest prefix first, so that the first match is the right one.
     if (a.pathPrefix.size() != b.pathPrefix.size()) {
         return a.pathPrefix.size() > b.pathPrefix.size();
     }
@@ -28,17 +28,17 @@
 std::string routeError(const Route &route)
 {
     if (route.pathPrefix.empty() || route.pathPrefix.front() != '/' || route.pathPrefix.back() != '/') {
-        return "its path prefix '" + route.pathPrefix + "' does not begin and end with a slash";
+        return "its path prefix '" + route.pathPrefix + "' must begin and end with a slash";
     }
     if (route.targets.empty()) {
         return "it has no service";
     }
     if (route.timeout <= Duration(0) || route.maxAttempts < 1) {
-        return "its timeout or its number of attempts is not above zero";
+        return "its timeout and its number of attempts must be above zero";
     }
     const auto isBad = [](const RouteTarget &target) { return !(target.weight > 0); };
     if (std::any_of(route.targets.begin(), route.targets.end(), isBad)) {
-        return "a weight is not above zero";
+        return "the weights of its services must be above zero";
     }
     return {};
 }
@@ -65,11 +65,12 @@
         }
         for (const RouteTarget &target : route.targets) {
             if (table->service(target.service) == nullptr) {
-                return Error { ErrorKind::ConfigInvalid, "route '" + route.name + "': no service '" + target.service.value() + "'" };
+                return Error { ErrorKind::ConfigInvalid, "route '" + route.name + "': unknown service '" + target.service.value() + "'" };
             }
         }
         if (previous != nullptr && previous->host == route.host && previous->pathPrefix == route.pathPrefix) {
-            return Error { ErrorKind::ConfigInvalid, "routes '" + previous->name + "' and '" + route.name + "' share host and prefix" };
+            return Error { ErrorKind::ConfigInvalid,
+                "routes '" + previous->name + "' and '" + route.name + "' have the same host and path prefix" };
         }
         previous = &route;
     }
--- a/state/routetable.h
+++ b/state/routetable.h
@@ -13,13 +13,13 @@
 namespace ApricotStep
 {
 
-/** What may be repeated of a request, and the shape of its answer. */
+/** Whether a request may run more than once, and the form of its answer. */
 enum class RequestKind {
-    /** May run more than once; the answer comes whole. */
+    /** May run more than once; has a single answer. */
     Idempotent,
-    /** May run at most once; the answer comes whole. */
+    /** May run at most once; has a single answer. */
     NonIdempotent,
-    /** The answer is a series of events. */
+    /** The answer is a stream of events. */
     Stream,
 };
 
@@ -27,11 +27,11 @@
 struct RouteTarget
 {
     ServiceName service;
-    /** Share against the other targets of the route; above 0. */
+    /** Relative to the weights of the route's other targets; above 0. */
     double weight = 1;
 };
 
-/** Where requests of one host and path prefix go, and how. */
+/** How requests to one host and path prefix are handled. */
 struct Route
 {
     std::string name;
@@ -39,17 +39,17 @@
     /** Begins and ends with a slash. */
     std::string pathPrefix;
     RequestKind kind = RequestKind::NonIdempotent;
-    /** Longest time that a caller is kept waiting for the end of its answer; above 0. */
+    /** Maximum time until the end of the answer; above 0. */
     Duration timeout;
-    /** An answer within this time earns its full value: to its end, of a stream to the first event. */
+    /** Time within which an answer has its full value: until its end, or for a stream until its first event. */
     Duration latencyObjective;
-    /** 0 is the most urgent. */
+    /** 0 is the highest priority. */
     int priority = 0;
-    /** Upstreams that may run one request, at least 1. */
+    /** Maximum number of upstreams that may run one request; at least 1. */
     int maxAttempts = 1;
-    /** A stream that broke off may go on at another upstream. */
+    /** An interrupted stream may be continued by another upstream. */
     bool isResumable = false;
-    /** Longest pause between two events of a stream that counts as on time; zero where none is set. */
+    /** Longest gap between two events of a stream that counts as on time; zero if none is set. */
     Duration eventGapObjective;
     /** At least one. */
     std::vector<RouteTarget> targets;
@@ -61,21 +61,21 @@
     BaseModelId id;
     double weightsMb = 0;
     double adapterMb = 0;
-    /** From the weight store at full speed. */
+    /** Time to load the weights from the weight store at its full speed. */
     Duration loadTime;
 };
 
-/** What the engines of a service can do. */
+/** What all engines of one service have in common. */
 struct EngineSpec
 {
     std::vector<BaseModelSpec> models;
     /** Memory for weights and adapters together. */
     double weightsMb = 0;
-    /** Places for adapters, those that are being loaded included. */
+    /** Number of adapter slots; adapters that are being loaded occupy one as well. */
     int adapterSlots = 0;
-    /** Tokens of prompts and answers that fit in memory. */
+    /** Size of the KV cache, in tokens of prompts and answers. */
     double kvCacheTokens = 0;
-    /** Loads of base models that the weight store bears, over all engines. */
+    /** Loads of base models per second that the weight store sustains, over all engines. */
     double loadsPerSecond = 0;
 };
 
@@ -83,13 +83,13 @@
 {
     ServiceName name;
     std::string healthPath;
-    /** Connections that one upstream bears, from all callers together. */
+    /** Maximum number of connections to one upstream, from all callers together. */
     int maxConnections = 0;
-    /** Unset for a plain service. */
+    /** Empty for a plain service. */
     std::optional<EngineSpec> engine;
 };
 
-/** What a caller may send, and how long it may take. */
+/** Limits for the size and the duration of callers' requests. */
 struct CallerLimits
 {
     std::size_t headerBytes = 16U << 10U;
@@ -98,7 +98,7 @@
     Duration idleTimeout = Duration::seconds(15);
 };
 
-/** What a route table is made from. */
+/** The content from which a route table is created. */
 struct RouteTableSource
 {
     ConfigVersion version;
@@ -107,11 +107,11 @@
     CallerLimits limits;
 };
 
-/** Routes and services of one version of the configuration. Immutable. */
+/** Routes and services of one configuration version. Immutable. */
 class RouteTable
 {
 public:
-    /** Errors: ConfigInvalid when a route names a service that is not there, has no target, or two routes share host and prefix. */
+    /** Errors: ConfigInvalid if a route is invalid or names an unknown service, or if two routes have the same host and prefix. */
     static Result<std::shared_ptr<const RouteTable>> make(RouteTableSource source);
 
     ConfigVersion version() const
@@ -126,9 +126,9 @@
     {
         return m_source.services;
     }
-    /** The route of @p host with the longest prefix that begins @p path (no query); null when none does. */
+    /** The route of @p host with the longest prefix of @p path (without query); null if there is none. */
     const Route *find(std::string_view host, std::string_view path) const;
-    /** Null when there is none of this name. */
+    /** Null if there is no service of this name. */
     const RoutedService *service(const ServiceName &name) const;
 
 private:
@@ -137,7 +137,7 @@
     RouteTableSource m_source;
 };
 
-/** The target that @p sample, 0 to 1, falls on; the same draw always gives the same one. */
+/** Selects a target according to the weights. @p sample is a number from 0 to 1; equal samples select the same target. */
 const RouteTarget &selectTarget(const Route &route, double sample);
 
 } // namespace ApricotStep
--- a/state/servicelevel.cpp
+++ b/state/servicelevel.cpp
@@ -20,7 +20,7 @@
     };
 
     absl::Mutex mutex;
-    // A ring by minute; a bucket that still bears an older minute counts as empty, so idle time needs no sweeping.
+    // A ring buffer indexed by minute. A bucket of an older minute counts as empty, so buckets need no reset while there are no events.
     std::array<Bucket, ServiceLevels::MinuteCount> ring ABSL_GUARDED_BY(mutex);
 };
 
--- a/state/sharedindex.h
+++ b/state/sharedindex.h
@@ -10,8 +10,8 @@
 {
 
 /**
- * A sorted set of 64-bit numbers whose copies share their blocks: a copy costs a pointer a block, a change the one block that it falls
- * into. Readers of an older copy are not disturbed.
+ * A sorted set of 64-bit numbers whose copies share their blocks. A copy costs one pointer per block, and a change copies only the affected
+ * block. Older copies stay as they are.
  */
 class SharedIndex
 {
@@ -19,21 +19,21 @@
     static SharedIndex build(std::vector<std::uint64_t> values);
 
     void insert(std::uint64_t value);
-    /** Nothing happens when it is not there. */
+    /** Does nothing if the set does not contain @p value. */
     void erase(std::uint64_t value);
 
-    /** About how many values lie in [first, last]: exact within a block, else told by the number of blocks, without reading them. */
+    /** Estimates how many values are in [first, last]: exact within one block, otherwise from the number of blocks without reading them. */
     std::size_t estimateCount(std::uint64_t first, std::uint64_t last) const;
-    /** Calls @p visit for each value in [first, last], ascending, until it returns false. */
+    /** Calls @p visit for each value in [first, last] in ascending order, until it returns false. */
     void visit(std::uint64_t first, std::uint64_t last, const std::function<bool(std::uint64_t)> &visit) const;
 
 private:
     using Block = std::vector<std::uint64_t>;
 
-    // The block that holds or would hold the value: the last one that starts at or below it.
+    // Index of the block that holds the value or would hold it: the last one whose first value is not greater, or the first block.
     std::size_t blockOf(std::uint64_t value) const;
 
-    // None is empty; all ascending.
+    // No block is empty. Values ascend within and across blocks.
     std::vector<std::shared_ptr<const Block>> m_blocks;
 };
 
--- a/state/sharedsnapshot.h
+++ b/state/sharedsnapshot.h
@@ -9,12 +9,12 @@
 namespace ApricotStep
 {
 
-/** An immutable value that one thread replaces and many read; a reader keeps what it got for as long as it likes. */
+/** Holds an immutable snapshot that one thread replaces and many read. A snapshot stays valid for as long as a reader keeps it. */
 template<typename T>
 class SharedSnapshot
 {
 public:
-    /** The newest value; null before the first set(). */
+    /** The current snapshot; null before the first set(). */
     std::shared_ptr<const T> get() const
     {
         const absl::ReaderMutexLock lock(&m_mutex);
--- a/state/upstreamrecord.h
+++ b/state/upstreamrecord.h
@@ -11,31 +11,31 @@
 namespace ApricotStep
 {
 
-/** A base model that an engine holds, with the adapters that it holds for it. */
+/** A base model that an engine has loaded, with its loaded adapters. */
 struct LoadedModel
 {
     BaseModelId id;
-    /** Adapters by name, each with the version that is in place; the version is empty where the engine names none. */
+    /** Adapters with their loaded versions; a version is empty if the engine reports none. */
     std::vector<AdapterKey> adapters;
 
     bool operator==(const LoadedModel &) const = default;
 };
 
-/** What one start of an upstream says of itself. */
+/** The record that one start of an upstream publishes about itself. */
 struct UpstreamRecord
 {
     UpstreamId id;
     ServiceName service;
-    /** IP number and port. */
+    /** IP address and port. */
     std::string address;
     ZoneId zone;
-    /** Requests that it works on at once; at least 1. */
+    /** Number of requests that it processes at the same time; at least 1. */
     int slots = 1;
-    /** It has announced that it leaves. */
+    /** The upstream has announced that it is leaving. */
     bool isLeaving = false;
-    /** When this start began, Unix ms by its own clock. Tells two starts under one id apart; never orders them. */
+    /** Start time in Unix milliseconds by the upstream's own clock. Distinguishes starts under one id, but must not order them. */
     std::int64_t startedAt = 0;
-    /** Base models in place; empty for a plain service. */
+    /** Loaded base models; empty for a plain service. */
     std::vector<LoadedModel> models;
 
     bool operator==(const UpstreamRecord &) const = default;
--- a/state/vmlist.h
+++ b/state/vmlist.h
@@ -13,7 +13,7 @@
     Upstream,
 };
 
-/** One VM of the platform's list. The list lags: it is a hint that nodes verify among themselves. */
+/** One VM of the platform's VM list. The list lags behind the actual state, so nodes verify it among themselves. */
 struct VmRecord
 {
     std::string id;
@@ -24,7 +24,7 @@
     std::string callerAddress;
     /** host:port of an entry VM's node RPC. */
     std::string rpcAddress;
-    /** host:port of an entry VM's membership datagrams. */
+    /** host:port where an entry VM receives membership datagrams. */
     std::string membershipAddress;
 };
 
--- a/tests/state/testcatalog.cpp
+++ b/tests/state/testcatalog.cpp
@@ -100,8 +100,8 @@
     cr_assert_not(old->apply(twice).isOk());
 }
 
-// Snapshots share blocks, so a slip in copying one would show in another version: a caller would get an adapter that the version in
-// force does not name. Two hundred random deltas are compared with a catalog that is built afresh.
+// Snapshots share blocks, so a fault in copying a block would show in other versions: a caller would get an adapter that the active version
+// does not contain. Applies about 200 random deltas and compares the result with a catalog that is built at once.
 Test(catalog, chainOfDeltasEqualsCatalogBuiltAtOnce)
 {
     CatalogContent wanted;
--- a/tests/state/testroutetable.cpp
+++ b/tests/state/testroutetable.cpp
@@ -29,7 +29,8 @@
 
 } // namespace
 
-// Two routes take a path; the longer prefix wins, whatever the order they came in. Host names count without case and port.
+// If two routes match a path, the one with the longer prefix is chosen, in whatever order they are listed. Case and port of the host name
+// are ignored.
 Test(routetable, longestPrefixOfHostWins)
 {
     const auto table = RouteTable::make(source({ route("/a/"), route("/a/b/"), route("/c/") })).value();
@@ -39,7 +40,8 @@
     cr_assert_null(table->find("other.example", "/a/x"));
 }
 
-// A configuration with a fault is refused whole, with the route that is at fault; half of one would drop routes that callers use.
+// An invalid configuration is rejected as a whole, with the name of the invalid route. Accepting a part of it would drop routes that
+// callers use.
 Test(routetable, invalidRouteRejectsTheWholeTable)
 {
     Route nowhere = route("/n/");
@@ -53,7 +55,7 @@
     cr_assert(refused.error().detail.find("r/i/") != std::string::npos);
 }
 
-// A split sends each service its share.
+// Each service of a route gets its share of the requests.
 Test(routetable, selectionFollowsWeights)
 {
     Route split = route("/s/");
--- a/tests/state/testservicelevel.cpp
+++ b/tests/state/testservicelevel.cpp
@@ -30,7 +30,7 @@
 
 Test(servicelevel, burnRateMatchesTheFailureRate)
 {
-    // An hour of one request a second, and in its last five minutes every tenth request fails.
+    // One request per second for an hour; in the last five minutes every tenth request fails.
     ServiceLevels levels(objectives());
     for (int second = 0; second < 3600; ++second) {
         const Time now = minute(0) + Duration::seconds(second);
@@ -68,6 +68,6 @@
     cr_assert_eq(levels.window(ServiceClass::Service, 360, minute(359)).bad, 1);
     cr_assert_eq(levels.window(ServiceClass::Service, 360, minute(360)).bad, 0);
     levels.recordAnswer(ServiceClass::Service, Duration(1), minute(360));
-    cr_assert_eq(levels.window(ServiceClass::Service, 1, minute(360)).total(), 1, "the ring's place was taken over from an old minute");
+    cr_assert_eq(levels.window(ServiceClass::Service, 1, minute(360)).total(), 1, "the bucket of an expired minute must be reset");
     cr_assert_eq(burnRate({}, Urgent), 0);
 }
