--- a/protocol/bytewriter.h
+++ b/protocol/bytewriter.h
@@ -7,7 +7,7 @@
 namespace ApricotStep
 {
 
-/** Appends numbers, low byte first, and texts with a length byte. */
+/** Serialises numbers in little-endian byte order, and texts with a length byte before them. */
 class ByteWriter
 {
 public:
@@ -18,7 +18,7 @@
             m_bytes.push_back(static_cast<char>((static_cast<std::uint64_t>(value) >> (8 * i)) & 0xff));
         }
     }
-    /** Cuts what is longer than 255 bytes. */
+    /** Truncates @p value to 255 bytes. */
     void text(std::string_view value)
     {
         value = value.substr(0, 255);
@@ -34,7 +34,7 @@
     std::string m_bytes;
 };
 
-/** Reads what a ByteWriter wrote. Reading past the end gives zeros and empty texts, and isGood() turns false. */
+/** Reads the output of a ByteWriter. Reading past the end returns zeros and empty texts, and makes isGood() false. */
 class ByteReader
 {
 public:
--- a/protocol/callerapi.cpp
+++ b/protocol/callerapi.cpp
@@ -21,7 +21,7 @@
 
 std::string dump(const Json &json)
 {
-    // Replaces invalid UTF-8 instead of throwing: a caller's bytes may be quoted in an error.
+    // Replaces invalid UTF-8 instead of throwing, since an error message may quote a caller's bytes.
     return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
@@ -135,9 +135,9 @@
         { { "object", "list" }, { "data", list }, { "total", catalog.adapterCount() }, { "config_version", catalog.version().value() } });
 }
 
-Result<Priority> parsePriority(std::string_view code)
+Result<Priority> parsePriority(std::string_view priorityName)
 {
-    const auto at = std::find(PriorityNames.begin(), PriorityNames.end(), code);
+    const auto at = std::find(PriorityNames.begin(), PriorityNames.end(), priorityName);
     if (at == PriorityNames.end()) {
         return badRequest("the priority must be urgent, standard or patient");
     }
--- a/protocol/callerapi.h
+++ b/protocol/callerapi.h
@@ -11,18 +11,18 @@
 namespace ApricotStep
 {
 
-/** The part of an OpenAI-style completion request that the node reads; the rest goes to the engine unchanged. */
+/** The fields of an OpenAI-style completion request that the node reads. The other fields are forwarded to the engine unchanged. */
 struct CompletionRequest
 {
     std::string selector;
     bool isStream = false;
-    /** Tokens that the caller asks for at most; 0 when it did not say. */
+    /** Maximum number of tokens that the caller requests; 0 if it set none. */
     int maxTokens = 0;
     /** The `user` field; may be empty. */
     std::string user;
 };
 
-/** One address of an address answer. */
+/** One node in an address answer. */
 struct AddressChoice
 {
     NodeId node;
@@ -31,55 +31,57 @@
     std::string address;
 };
 
-/** An engine of an adapter and the node that owns it. */
+/** An engine on which an adapter can run, and the node that owns the engine. */
 struct AddressCandidate
 {
     UpstreamId upstream;
     NodeId owner;
 };
 
+/** The answer to a caller that asks which nodes to send an adapter's requests to. */
 struct AddressAnswer
 {
     AdapterKey adapter;
     ConfigVersion version;
     /** Best first. */
     std::vector<AddressChoice> choices;
-    /** How long the caller may keep the answer. */
+    /** How long the caller may cache the answer. */
     Duration keepFor;
-    /** A minted idempotency key, or empty. */
+    /** A new idempotency key for the caller; may be empty. */
     std::string key;
-    /** The adapter's engines, best first, from which the choices come; empty unless asked for. */
+    /** The adapter's engines, best first, from whose owners the choices are taken; empty unless the caller asks for them. */
     std::vector<AddressCandidate> candidates;
 };
 
-/** What stands beside an error in its answer. */
+/** The optional fields of an error's answer. */
 struct ErrorDetails
 {
     std::string detail;
-    /** Zero means no advice. */
+    /** Delay before a retry; zero if none is advised. */
     Duration retryAfter;
-    /** The right node's host:port, or empty. */
+    /** host:port of the node that serves the request; may be empty. */
     std::string address;
-    /** A minted idempotency key, or empty. */
+    /** A new idempotency key for the caller; may be empty. */
     std::string key;
     std::string requestId;
 };
 
-/** Reads a request body. Errors: BadRequest. */
+/** Parses the body of a completion request. Errors: BadRequest. */
 Result<CompletionRequest> parseCompletionRequest(std::string_view body);
 
-/** The same body with `model` replaced by the adapter that the request resolved to. The body must have parsed before. */
+/** Returns @p body with `model` replaced by the name of @p adapter. parseCompletionRequest() must accept @p body. */
 std::string withModel(std::string_view body, const AdapterKey &adapter);
 
 std::string addressBody(const AddressAnswer &answer);
 std::string keyBody(std::string_view key, Duration lifetime);
-/** An error in the OpenAI error shape, with `not_run` and retry advice beside its own fields. */
+/** The body of an error answer: an OpenAI error object with `not_run` and the retry advice as additional fields. */
 std::string errorBody(ErrorKind kind, const ErrorDetails &details);
-/** The same as a server-sent event, for an answer that has begun already. */
+/** The same as a server-sent event, for a stream that has already begun. */
 std::string errorEvent(ErrorKind kind, const ErrorDetails &details);
+/** The body of the model list, with at most @p limit adapter versions. */
 std::string modelsBody(const Catalog &catalog, std::size_t limit);
 
-/** Reads a class of requests by its word. Errors: BadRequest. */
-Result<Priority> parsePriority(std::string_view word);
+/** Parses the name of a priority. Errors: BadRequest. */
+Result<Priority> parsePriority(std::string_view priorityName);
 
 } // namespace ApricotStep
--- a/protocol/configvalues.cpp
+++ b/protocol/configvalues.cpp
@@ -12,7 +12,7 @@
 
 using Json = nlohmann::json;
 
-// A page is closed when it has grown past this; one more entry of the largest size still fits under MaxConfigValueBytes.
+// A page is complete once it is larger than this. The margin to MaxConfigValueBytes leaves room for one entry of the largest size.
 constexpr std::size_t PageBytes = 900'000;
 
 AdapterKey keyFrom(const std::string &name)
@@ -174,7 +174,7 @@
     return ConfigHead {};
 }
 
-// Collects entries into pages in their order.
+// Splits entries into pages and keeps their order.
 class PageWriter
 {
 public:
@@ -217,8 +217,8 @@
 {
     const std::string actual = sha256Hex(text);
     if (kind != ConfigValueKind::Head && actual != hash) {
-        // A page that was cut or mixed up would put a configuration in force that no operator published.
-        return Error { ErrorKind::StaleConfig, "the value " + hash + " came with other content" };
+        // A truncated or mistaken value would activate a configuration that no operator published.
+        return Error { ErrorKind::StaleConfig, "the content of value " + hash + " does not match its hash" };
     }
     if (text.size() > MaxConfigValueBytes) {
         return Error { ErrorKind::ConfigInvalid, "a value is larger than " + std::to_string(MaxConfigValueBytes) + " bytes" };
@@ -228,7 +228,7 @@
         std::visit([&](auto &content) { content.hash = actual; }, value);
         return value;
     } catch (const Json::exception &exception) {
-        return Error { ErrorKind::ConfigInvalid, std::string("a published value cannot be read: ") + exception.what() };
+        return Error { ErrorKind::ConfigInvalid, std::string("a published value cannot be parsed: ") + exception.what() };
     }
 }
 
--- a/protocol/configvalues.h
+++ b/protocol/configvalues.h
@@ -10,31 +10,31 @@
 namespace ApricotStep
 {
 
-// The published configuration as JSON. Each value stays under a megabyte.
+// Conversion of the published configuration to and from JSON. Each value is at most one megabyte.
 
-/** The name of the head among the published values; the others are named by their hash. */
+/** The name under which the head is published; the other values are published under their hashes. */
 inline constexpr std::string_view ConfigHeadName = "head";
 inline constexpr std::size_t MaxConfigValueBytes = 1'000'000;
 
 /**
- * Reads a value of @p kind. @p hash: what its text must hash to; empty for a head, whose text nothing names.
- * Errors: StaleConfig when the text is not the one that was asked for, ConfigInvalid when it is but cannot be read.
+ * Parses a value of @p kind. @p hash is the expected SHA-256 of @p text; it is ignored for a head, which no other value refers to.
+ * Errors: StaleConfig if the text does not match the hash, ConfigInvalid if it matches but cannot be parsed or is too large.
  */
 Result<ConfigValue> parseConfigValue(ConfigValueKind kind, const std::string &hash, std::string_view text);
 
-/** The text of @p head; its hash is not part of it. */
+/** Serialises @p head without its hash. */
 std::string configHeadText(const ConfigHead &head);
-/** The text of @p delta; its hash is not part of it. */
+/** Serialises @p delta without its hash. */
 std::string configDeltaText(const ConfigDelta &delta);
 
-/** A base as it is published. */
+/** The published texts of a base: its index and its pages. */
 struct ConfigBaseTexts
 {
     std::string index;
     std::vector<std::string> pages;
 };
 
-/** The base of @p content. Equal contents give equal texts, so that a node can work out the base of what it has in force. */
+/** Serialises @p content as a base. Equal contents give equal texts, so that a node can compute the base of its active configuration. */
 ConfigBaseTexts configBaseTexts(const CatalogContent &content);
 
 } // namespace ApricotStep
--- a/protocol/engineapi.cpp
+++ b/protocol/engineapi.cpp
@@ -12,7 +12,7 @@
 
 using Json = nlohmann::json;
 
-// Adapter names always have an '@', so this one cannot be meant for an adapter.
+// Names of adapters always contain '@', so no adapter has this name.
 constexpr std::string_view ClaimAdapterName = "apricotstep-claim";
 constexpr int ConflictStatus = 409;
 constexpr std::string_view FencedMarker = "fenced";
@@ -60,7 +60,7 @@
         }
         return report;
     } catch (const Json::exception &exception) {
-        return Error { ErrorKind::UpstreamFailed, std::string("load report: ") + exception.what() };
+        return Error { ErrorKind::UpstreamFailed, std::string("invalid load report: ") + exception.what() };
     }
 }
 
--- a/protocol/engineapi.h
+++ b/protocol/engineapi.h
@@ -11,7 +11,7 @@
 namespace ApricotStep
 {
 
-// The engine's order calls, in the manner of vLLM. The exact wire form of an engine stands in this module alone.
+// The calls that make an engine load or unload adapters, as in the API of vLLM. No other module depends on their wire format.
 
 inline constexpr std::string_view EngineLoadPath = "/v1/load_lora_adapter";
 inline constexpr std::string_view EngineUnloadPath = "/v1/unload_lora_adapter";
@@ -21,25 +21,29 @@
 
 std::string engineLoadBody(const AdapterKey &adapter);
 std::string engineUnloadBody(const AdapterKey &adapter);
-/** An unload of a name that no adapter has: it changes nothing, but shows the engine the fencing token that comes with it. */
+/**
+ * The body of an unload request for a name that no adapter has. The request changes no adapter; it only makes the engine see the fencing
+ * token that is sent with it.
+ */
 std::string engineClaimBody();
 
-/** What an engine says of itself. */
+/** An engine's report on its adapters and its load. */
 struct EngineLoadReport
 {
     std::vector<AdapterKey> loaded;
-    /** Adapters that some request runs on there. */
+    /** Adapters with running requests. */
     std::vector<AdapterKey> inUse;
+    /** Running and waiting requests, including those without an adapter. */
     int running = 0;
     int waiting = 0;
-    /** The highest token that it has seen; empty when it does not tell. */
+    /** The highest fencing token that the engine has seen; empty if it does not report any. */
     std::optional<FencingToken> fencingToken;
 };
 
-/** Errors: UpstreamFailed when @p text is no load report. */
+/** Errors: UpstreamFailed if @p text is not a load report. */
 Result<EngineLoadReport> parseEngineLoadReport(std::string_view text);
 
-/** Whether the answer to an order says that the engine has seen a higher fencing token. */
+/** Returns whether an engine refused an order because it has seen a higher fencing token. */
 bool isFencedAnswer(int status, std::string_view body);
 
 } // namespace ApricotStep
--- a/protocol/eventsplitter.cpp
+++ b/protocol/eventsplitter.cpp
@@ -6,7 +6,7 @@
 std::string EventSplitter::push(std::string_view bytes)
 {
     m_partialEvent.append(bytes);
-    // An event ends with an empty line; lines end with LF or CRLF.
+    // An event ends with an empty line. Lines end with LF or CRLF.
     std::size_t end = std::string::npos;
     for (const std::string_view delimiter : { "\n\n", "\n\r\n" }) {
         const std::size_t at = m_partialEvent.rfind(delimiter);
--- a/protocol/eventsplitter.h
+++ b/protocol/eventsplitter.h
@@ -7,27 +7,27 @@
 {
 
 /**
- * Cuts a text/event-stream into whole events and remembers the id of the last one.
+ * Splits a text/event-stream into whole events and keeps the id of the last one.
  *
- * An upstream may break off in the middle of an event. A caller who got half of one and then the rest of the stream from another upstream
- * would read two runs joined in one event, so only whole events may go on.
+ * An upstream may fail in the middle of an event. If a caller received part of an event and then the remaining stream from another
+ * upstream, it would read the output of two runs joined in one event. So only whole events may be passed on.
  */
 class EventSplitter
 {
 public:
-    /** Takes in @p bytes and returns the whole events that they complete, byte for byte. */
+    /** Appends @p bytes and returns the events that are now complete, byte for byte. */
     std::string push(std::string_view bytes);
-    /** What came after the last whole event. */
+    /** The bytes received after the last whole event. */
     const std::string &partialEvent() const
     {
         return m_partialEvent;
     }
-    /** Drops what came after the last whole event. */
+    /** Discards the bytes received after the last whole event. */
     void discardPartialEvent()
     {
         m_partialEvent.clear();
     }
-    /** The id field of the last whole event that had one; empty when none had. */
+    /** The id of the last whole event that had one; empty if none had. */
     const std::string &lastId() const
     {
         return m_lastId;
--- a/protocol/fleet.capnp
+++ b/protocol/fleet.capnp
@@ -19,7 +19,8 @@
     inTimeForMs @6 :Int32;
 }
 
-# Copies that share all but their names: a row of twenty would otherwise name its one model twenty times.
+# Copies that differ only in the name of their adapter. Without the grouping, a report of twenty copies would repeat its one model twenty
+# times.
 struct AdapterCopiesWire {
     model @0 :Text;
     version @1 :Text;
--- a/protocol/fleetcodec.cpp
+++ b/protocol/fleetcodec.cpp
@@ -17,9 +17,9 @@
 namespace
 {
 
-// A datagram cannot hold more than this unpacked; the bound keeps forged ones from costing memory or time.
+// No valid datagram is larger than this when unpacked. The limit bounds the memory and time that a forged datagram can cost.
 constexpr std::uint64_t MaxTraversalWords = 64U << 10U;
-// A forged message must not make its sender count as alive for longer than a few of these.
+// A node counts as alive for a few message intervals. The limit bounds that time for senders of forged messages.
 constexpr Duration MaxInterval = Duration::seconds(5);
 
 std::string textOf(capnp::Text::Reader text)
@@ -249,11 +249,11 @@
         capnp::PackedMessageReader reader(in, options);
         FleetMessage message = decode(reader.getRoot<Wire::FleetMessageWire>());
         if (message.sender.isEmpty()) {
-            return Error { ErrorKind::BadRequest, "a fleet message without a sender" };
+            return Error { ErrorKind::BadRequest, "a fleet message must name its sender" };
         }
         return message;
     } catch (const kj::Exception &error) {
-        return Error { ErrorKind::BadRequest, std::string("a fleet message that cannot be read: ") + error.getDescription().cStr() };
+        return Error { ErrorKind::BadRequest, std::string("a fleet message cannot be decoded: ") + error.getDescription().cStr() };
     }
 }
 
--- a/protocol/fleetcodec.h
+++ b/protocol/fleetcodec.h
@@ -9,10 +9,10 @@
 namespace ApricotStep
 {
 
-/** The bytes of @p message, a packed Cap'n Proto message. */
+/** Encodes @p message as a packed Cap'n Proto message. */
 std::string encodeFleetMessage(const FleetMessage &message);
 
-/** Errors: BadRequest for bytes that encodeFleetMessage() did not make, or that name no sender. */
+/** Errors: BadRequest if @p bytes are not a fleet message, or if the message names no sender. */
 Result<FleetMessage> decodeFleetMessage(std::string_view bytes);
 
 } // namespace ApricotStep
--- a/protocol/ledger.capnp
+++ b/protocol/ledger.capnp
@@ -1,6 +1,6 @@
 @0xd1b7a0c5e0a94c27;
-# How a node that leaves hands its one-time requests to another, in batches of one tell() each. Rebuild the committed C++ with
-# `capnp compile -oc++ protocol/ledger.capnp`.
+# The messages with which a leaving node hands its ledger of one-time requests to another node, one batch per tell() call. Regenerate the
+# committed C++ files with `capnp compile -oc++ protocol/ledger.capnp`.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("ApricotStep::Wire");
@@ -10,9 +10,9 @@
   incarnation @1 :UInt64;
   sealedAtMs @2 :Int64;
   lifetimeMs @3 :Int64;
-  # Records before this batch; 0 begins anew.
+  # Number of records in the batches before this one; 0 starts the transfer again.
   first @4 :UInt64;
-  # Records in all batches.
+  # Number of records in all batches.
   count @5 :UInt64;
   records @6 :List(LedgerRecord);
 }
--- a/protocol/ledgercodec.cpp
+++ b/protocol/ledgercodec.cpp
@@ -92,7 +92,7 @@
     LedgerBatch batch;
     const auto exception = kj::runCatchingExceptions([&] {
         const kj::ArrayPtr<const kj::byte> data(reinterpret_cast<const kj::byte *>(bytes.data()), bytes.size());
-        kj::ArrayInputStream stream(data); // Copies: the bytes may not be aligned to words.
+        kj::ArrayInputStream stream(data); // The stream copies the bytes, which may not be word-aligned.
         capnp::InputStreamMessageReader message(stream);
         const auto reader = message.getRoot<Wire::LedgerBatch>();
         batch.part.node = NodeId(reader.getNode().cStr());
@@ -106,7 +106,7 @@
         }
     });
     if (exception != nullptr) {
-        return Error { ErrorKind::BadRequest, "not a batch of a ledger" };
+        return Error { ErrorKind::BadRequest, "the message is not a ledger batch" };
     }
     return batch;
 }
--- a/protocol/ledgercodec.h
+++ b/protocol/ledgercodec.h
@@ -10,17 +10,18 @@
 namespace ApricotStep
 {
 
-/** A part of a sealed ledger on its way. */
+/** One of the batches in which a sealed ledger is transferred. */
 struct LedgerBatch
 {
+    /** The ledger with only the records of this batch. */
     SealedLedger part;
-    /** Records before this batch; 0 begins anew. */
+    /** Number of records in the batches before this one; 0 starts the transfer again. */
     std::size_t first = 0;
-    /** Records in all batches. */
+    /** Number of records in all batches. */
     std::size_t count = 0;
 };
 
-/** @p ledger in batches of about @p batchBytes at most, but of one record at least; one empty batch when it has none. */
+/** Encodes @p ledger in batches of at most about @p batchBytes, with at least one record each; one empty batch if it has no records. */
 std::vector<std::string> encodeLedger(const SealedLedger &ledger, std::size_t batchBytes);
 /** Errors: BadRequest. */
 Result<LedgerBatch> decodeLedgerBatch(std::string_view bytes);
--- a/protocol/membershipcodec.cpp
+++ b/protocol/membershipcodec.cpp
@@ -65,7 +65,8 @@
     if (update.state == MemberState::Suspect) {
         writer.text(update.accuser.value());
     }
-    // Only a live member's addresses matter; the others are known by then, and leaving them out halves a burst of deaths.
+    // Only the addresses of live members are needed: those of other members are already known. Leaving them out halves the traffic when
+    // many nodes fail at once.
     if (update.state == MemberState::Alive) {
         writer.number(update.number);
         writer.text(update.zone.value());
@@ -239,7 +240,7 @@
         datagram.rumours.push_back(readRumour(reader, isKnown));
     }
     if (!reader.isGood() || !reader.isAtEnd() || !isKnown) {
-        return invalidDatagram("it is cut or malformed");
+        return invalidDatagram("it is truncated or malformed");
     }
     return datagram;
 }
--- a/protocol/membershipcodec.h
+++ b/protocol/membershipcodec.h
@@ -9,16 +9,16 @@
 namespace ApricotStep
 {
 
-/** Every datagram stays at or below this, so that no path has to cut it. */
+/** Maximum size of a datagram, small enough that no network path has to fragment it. */
 inline constexpr std::size_t MaxMemberDatagramBytes = 1200;
 
 /**
- * The bytes of @p datagram, signed with the fleet's secret. Written by hand: a ping takes 45 bytes so, against more than 100 as a packed
- * Cap'n Proto message, and pings are most of what a node spends on control.
+ * Encodes @p datagram and signs it with the fleet's secret. The format is hand-written because pings are most of a node's control traffic:
+ * a ping takes 45 bytes, compared to more than 100 as a packed Cap'n Proto message.
  */
 std::string encodeMemberDatagram(const MemberDatagram &datagram, std::string_view secret);
 
-/** Errors: BadRequest for anything that encodeMemberDatagram() did not make under @p secret. */
+/** Errors: BadRequest if @p bytes are malformed or not signed with @p secret. */
 Result<MemberDatagram> decodeMemberDatagram(std::string_view bytes, std::string_view secret);
 
 } // namespace ApricotStep
--- a/protocol/node.capnp
+++ b/protocol/node.capnp
@@ -1,27 +1,27 @@
 @0xc6cebb8ed6598759;
-# What nodes say to each other over node RPC. Rebuild the committed C++ with `capnp compile -oc++ protocol/node.capnp`.
+# The RPC interface between nodes. Regenerate the committed C++ files with `capnp compile -oc++ protocol/node.capnp`.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("ApricotStep::Wire");
 
-# A peer gets nothing but a Gate until both sides have shown that they know the fleet's secret.
+# The bootstrap interface. A peer gets access to PeerNode only after both sides have proved that they know the fleet's secret.
 interface Gate {
-  # `proof` is the server's: HMAC of both nonces and its role. A fresh nonce a connection: a recorded proof opens nothing.
+  # `proof` is the server's HMAC of both nonces and its role. Fresh nonces for each connection keep a recorded proof from being replayed.
   hello @0 (nonce :Text) -> (nonce :Text, proof :Text);
   authenticate @1 (proof :Text) -> (node :PeerNode);
 }
 
 interface PeerNode {
-  # Shows that the peer's process runs, while a forward is in progress.
+  # Checks that the peer's process responds while a forward is in progress.
   ping @0 ();
   fetch @1 (name :Text) -> (result :Value);
   tell @2 (part :Text, message :Data) -> (result :Value);
-  # Returns when the answer is whole. Dropping the call cancels the request: its caller has gone.
+  # Returns when the answer is complete. Dropping the call cancels the request, because its caller has disconnected.
   forward @3 (request :Request, answer :AnswerSink);
 }
 
 struct Value {
-  # Number of an ErrorKind; 0 means that `data` holds the value.
+  # Numeric value of an ErrorKind; 0 means success, with the value in `data`.
   error @0 :UInt16;
   detail @1 :Text;
   data @2 :Data;
@@ -39,17 +39,17 @@
   parameters @3 :List(Header);
   headers @4 :List(Header);
   body @5 :Data;
-  # The caller's IP number.
+  # The caller's IP address.
   caller @6 :Text;
-  # Forwards so far, this one included.
+  # Number of forwards so far, including this one.
   hops @7 :UInt8;
 }
 
-# Where an answer goes, in order: respond, or begin, write..., and then finish or abort.
+# Receives an answer: either one respond, or begin, any number of write, and then finish or abort.
 interface AnswerSink {
   respond @0 (status :UInt16, headers :List(Header), body :Data);
   begin @1 (status :UInt16, headers :List(Header));
-  # Returns when the caller has taken the data; the owner keeps a bounded window of bytes that have not returned.
+  # Returns when the caller has received the data. For backpressure, the owner limits the bytes of writes that have not returned.
   write @2 (data :Data);
   finish @3 ();
   abort @4 ();
--- a/protocol/permitcodec.cpp
+++ b/protocol/permitcodec.cpp
@@ -136,7 +136,7 @@
     bool isKnown = version == FormatVersion;
     PermitMessage message = readMessage(reader, kind, isKnown);
     if (!isKnown || !reader.isGood() || !reader.isAtEnd()) {
-        return Error { ErrorKind::BadRequest, "not a permit message" };
+        return Error { ErrorKind::BadRequest, "the message is not a permit message" };
     }
     return message;
 }
--- a/protocol/permitcodec.h
+++ b/protocol/permitcodec.h
@@ -10,11 +10,11 @@
 namespace ApricotStep
 {
 
-/** What nodes tell each other about load permits. */
+/** A message about load permits between nodes. */
 using PermitMessage = std::variant<PermitRequest, PermitRelease, PermitGrant, PermitWaitEstimate>;
 
 std::string encodePermitMessage(const PermitMessage &message);
-/** Errors: BadRequest for what encodePermitMessage() does not write. */
+/** Errors: BadRequest if @p bytes are not a permit message. */
 Result<PermitMessage> decodePermitMessage(std::string_view bytes);
 
 } // namespace ApricotStep
--- a/protocol/platformvalues.cpp
+++ b/protocol/platformvalues.cpp
@@ -40,7 +40,7 @@
         }
         return list;
     } catch (const Json::exception &exception) {
-        return invalid(std::string("VM list: ") + exception.what());
+        return invalid(std::string("invalid VM list: ") + exception.what());
     }
 }
 
--- a/protocol/platformvalues.h
+++ b/protocol/platformvalues.h
@@ -8,9 +8,9 @@
 namespace ApricotStep
 {
 
-// The VM list as the platform's service hands it out, as JSON. Its exact wire form stands in this module alone.
+// The VM list that the platform's service provides as JSON. No other module depends on its wire format.
 
-/** Reads the VM list. Errors: ConfigInvalid, naming the place. */
+/** Parses the VM list. Errors: ConfigInvalid; the detail says where the problem is. */
 Result<VmList> parseVmList(std::string_view text);
 
 } // namespace ApricotStep
--- a/tests/protocol/testconfigvalues.cpp
+++ b/tests/protocol/testconfigvalues.cpp
@@ -65,7 +65,7 @@
     cr_assert(std::get<ConfigHead>(parseConfigValue(ConfigValueKind::Head, {}, head).value()).deltaHash == sha256Hex(text));
 }
 
-// A replica or a peer hands out a page that was cut on its way. Half of the adapters would be unknown to callers.
+// A replica or a peer provides a page that was truncated on its way. If it were accepted, adapters would be missing for callers.
 Test(configvalues, contentThatDoesNotMatchItsHashIsRejected)
 {
     const std::string page = configBaseTexts(largeContent()).pages.front();
--- a/tests/protocol/testengineapi.cpp
+++ b/tests/protocol/testengineapi.cpp
@@ -10,7 +10,7 @@
         parseEngineLoadReport(R"({"loaded":["a@1","b@2"],"running":{"b@2":3,"base":1},"waiting":4,"fencing_token":65543,"other":true})");
     cr_assert(report.isOk());
     cr_assert_eq(report.value().loaded.size(), 2);
-    cr_assert_eq(report.value().inUse.size(), 1, "the base model is no adapter");
+    cr_assert_eq(report.value().inUse.size(), 1, "the base model is not an adapter");
     cr_assert_eq(report.value().running, 4);
     cr_assert_eq(report.value().waiting, 4);
     cr_assert(report.value().fencingToken == FencingToken(65543));
@@ -18,7 +18,8 @@
 
 Test(engineapi, rejectsMalformedLoadReports)
 {
-    // An engine that restarts or a wrong address answers with something else. Reading it as "nothing runs here" would allow evictions.
+    // A restarting engine, or another server at a wrong address, may answer with something else. Reading that as "no requests are running"
+    // would allow evictions.
     for (const char *text : { "", "{}", "[]", R"({"loaded":["a@1"]})", R"({"loaded":7,"running":{}})", R"({"loaded":[],"running":[1]})" }) {
         cr_assert_not(parseEngineLoadReport(text).isOk(), "%s", text);
     }
--- a/tests/protocol/testfleetcodec.cpp
+++ b/tests/protocol/testfleetcodec.cpp
@@ -60,7 +60,7 @@
     cr_assert(message.store == sent.store);
 }
 
-// Datagrams arrive cut, changed or from elsewhere. None may crash a node, and one without a sender changes nothing.
+// Datagrams may be truncated, modified or sent by other programs. None may crash a node, and one without a sender is rejected.
 Test(fleetcodec, malformedMessagesAreRejectedWithoutACrash)
 {
     const std::string whole = encodeFleetMessage(fullMessage());
@@ -70,13 +70,13 @@
         for (int change = 0; change < 3 && !bytes.empty(); ++change) {
             bytes[random() % bytes.size()] = static_cast<char>(random());
         }
-        static_cast<void>(decodeFleetMessage(bytes).isOk()); // Either way, without a crash.
+        static_cast<void>(decodeFleetMessage(bytes).isOk()); // Any result is accepted; it must not crash.
     }
     cr_assert_not(decodeFleetMessage("").isOk());
     cr_assert_not(decodeFleetMessage(encodeFleetMessage(FleetMessage {})).isOk());
 }
 
-// Parts of a stream end anywhere; only whole events come out, byte for byte, and the id of the last one is known.
+// A stream arrives in pieces that end anywhere. Only whole events are returned, byte for byte, and the id of the last one is kept.
 Test(eventsplitter, emitsOnlyWholeEvents)
 {
     EventSplitter splitter;
--- a/tests/protocol/testfuzz.cpp
+++ b/tests/protocol/testfuzz.cpp
@@ -9,8 +9,8 @@
 
 using namespace ApricotStep;
 
-// Callers copy examples and send whatever comes out. Whatever arrives, a parser must return a value or a clear error; one that crashes
-// takes every other request on the node with it.
+// Callers edit examples and may send any bytes. A parser must return a value or an error for each input: a crash would fail all other
+// requests on the node.
 
 namespace
 {
@@ -60,13 +60,13 @@
         if (parsed.isOk()) {
             ++accepted;
             const std::string forwarded = withModel(text, { AdapterId("a"), AdapterVersion("1") });
-            cr_assert(parseCompletionRequest(forwarded).isOk(), "an accepted body must be forwarded as one: %s", text.c_str());
+            cr_assert(parseCompletionRequest(forwarded).isOk(), "a forwarded body must be valid as well: %s", text.c_str());
         } else {
             cr_assert(parsed.error().kind == ErrorKind::BadRequest);
             cr_assert_not(errorBody(ErrorKind::BadRequest, { text, {}, {}, {}, {} }).empty());
         }
     }
-    cr_assert_gt(accepted, 0, "the inputs reach the accepting path too");
+    cr_assert_gt(accepted, 0, "some inputs must be accepted");
     cr_assert_lt(accepted, Rounds);
 }
 
@@ -77,6 +77,6 @@
     const std::string good = IdempotencyKey { NodeId("n1"), Incarnation(7), Time(9), 11 }.encode(secret);
     for (int i = 0; i < Rounds; ++i) {
         const std::string text = mutated(good, random);
-        cr_assert(text == good || !IdempotencyKey::decode(text, secret).isOk(), "a forged key was taken: %s", text.c_str());
+        cr_assert(text == good || !IdempotencyKey::decode(text, secret).isOk(), "a forged key was accepted: %s", text.c_str());
     }
 }
--- a/tests/protocol/testmembershipcodec.cpp
+++ b/tests/protocol/testmembershipcodec.cpp
@@ -59,7 +59,7 @@
 
 Test(membershipcodec, forgedTruncatedAndModifiedDatagramsAreRejected)
 {
-    // Anybody on the network can send to the port. Taking in a changed datagram would let them declare nodes dead.
+    // Anyone on the network can send to the port. Accepting a modified datagram would let them declare nodes dead.
     const std::string bytes = encodeMemberDatagram(example(), Secret);
     cr_assert_not(decodeMemberDatagram(bytes, "another secret").isOk());
     for (std::size_t size = 0; size < bytes.size(); ++size) {
@@ -75,7 +75,7 @@
 
 Test(membershipcodec, signedButMalformedDatagramIsRejected)
 {
-    // A node of another release writes something unknown. Reading past its end would crash every node that hears it.
+    // A node of another release may send a format that is unknown here. Reading past its end would crash every node that receives it.
     MemberDatagram datagram = example();
     datagram.updates[0].state = static_cast<MemberState>(9);
     cr_assert_not(decodeMemberDatagram(encodeMemberDatagram(datagram, Secret), Secret).isOk());
