--- a/tests/scenarios/runner/callers.cpp
+++ b/tests/scenarios/runner/callers.cpp
@@ -99,12 +99,12 @@
 
 struct Callers::Private
 {
-    explicit Private(const World &aWorld)
-        : world(aWorld)
+    explicit Private(const TestCluster &aCluster)
+        : cluster(aCluster)
     {
     }
 
-    const World &world;
+    const TestCluster &cluster;
     mutable std::mutex mutex;
     std::condition_variable changed;
     std::vector<Record> records;
@@ -190,7 +190,7 @@
 
 std::string Callers::Private::anyNode(std::size_t turn) const
 {
-    const auto addresses = world.nodeAddresses();
+    const auto addresses = cluster.nodeAddresses();
     return addresses.empty() ? "127.0.0.1:1" : addresses[turn % addresses.size()];
 }
 
@@ -302,8 +302,8 @@
     }
 }
 
-Callers::Callers(const World &world)
-    : d(std::make_shared<Private>(world))
+Callers::Callers(const TestCluster &cluster)
+    : d(std::make_shared<Private>(cluster))
 {
 }
 
@@ -320,7 +320,7 @@
         Record record = d->newRecord(group, options, false);
         const auto startedAt = Clock::now();
         if (options.contains("node")) {
-            record.answers.push_back(d->sendChat(d->world.callerAddress(options.at("node")), record, options));
+            record.answers.push_back(d->sendChat(d->cluster.callerAddress(options.at("node")), record, options));
         } else {
             d->chatWithRetries(record, options);
         }
@@ -335,7 +335,7 @@
         const auto startedAt = Clock::now();
         if (options.contains("node")) {
             const std::string key = options.contains("key") ? d->keys.at(options.at("key")) : "";
-            record.answers.push_back(d->sendPayment(d->world.callerAddress(options.at("node")), record, key, options));
+            record.answers.push_back(d->sendPayment(d->cluster.callerAddress(options.at("node")), record, key, options));
         } else {
             d->payWithRetries(record, options);
         }
@@ -345,7 +345,7 @@
 
 void Callers::fetchKey(const std::string &name, const std::string &node)
 {
-    const HttpReply reply = callHttp("http://" + d->world.callerAddress(node) + "/v1/keys", "{}", {}, LookUpTimeoutMs);
+    const HttpReply reply = callHttp("http://" + d->cluster.callerAddress(node) + "/v1/keys", "{}", {}, LookUpTimeoutMs);
     const Json json = Json::parse(reply.body, nullptr, false);
     if (reply.status != 200 || !json.is_object()) {
         throw std::runtime_error("no key from " + node);
--- a/tests/scenarios/runner/callers.h
+++ b/tests/scenarios/runner/callers.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "tests/scenarios/runner/world.h"
+#include "tests/scenarios/runner/testcluster.h"
 
 #include <cstdint>
 #include <map>
@@ -66,7 +66,7 @@
 class Callers
 {
 public:
-    explicit Callers(const World &world);
+    explicit Callers(const TestCluster &cluster);
     ~Callers();
 
     /** One chat in the background; with node= it goes there without retries. */
--- a/tests/scenarios/runner/judge.cpp
+++ b/tests/scenarios/runner/judge.cpp
@@ -63,18 +63,18 @@
 
 } // namespace
 
-Counts readCounts(const World &world)
+Counts readCounts(const TestCluster &cluster)
 {
     Counts counts;
-    for (const std::string &engine : world.engines()) {
-        const Json prompts = readJson(world.directAddress(engine), "/control/prompts");
+    for (const std::string &engine : cluster.engines()) {
+        const Json prompts = readJson(cluster.directAddress(engine), "/control/prompts");
         for (const auto &[mark, count] : prompts.items()) {
             counts.generated[mark] += count.get<int>();
         }
-        counts.evictedInUse += readJson(world.directAddress(engine), "/v1/load_report").value("evicted_in_use", 0);
+        counts.evictedInUse += readJson(cluster.directAddress(engine), "/v1/load_report").value("evicted_in_use", 0);
     }
-    for (const std::string &service : world.services()) {
-        const Json bodies = readJson(world.directAddress(service), "/control/runs").value("bodies", Json::object());
+    for (const std::string &service : cluster.services()) {
+        const Json bodies = readJson(cluster.directAddress(service), "/control/runs").value("bodies", Json::object());
         for (const auto &[mark, count] : bodies.items()) {
             counts.runs[mark] += count.get<int>();
         }
--- a/tests/scenarios/runner/judge.h
+++ b/tests/scenarios/runner/judge.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "tests/scenarios/runner/callers.h"
-#include "tests/scenarios/runner/world.h"
+#include "tests/scenarios/runner/testcluster.h"
 
 #include <string>
 #include <vector>
@@ -19,7 +19,7 @@
     int evictedInUse = 0;
 };
 
-Counts readCounts(const World &world);
+Counts readCounts(const TestCluster &cluster);
 
 /** Each broken promise as a sentence; empty when all were kept. Judged by what callers received and the stand-ins counted. */
 std::vector<std::string> brokenPromises(const std::vector<Record> &records, const Counts &counts);
--- a/tests/scenarios/runner/main.cpp
+++ b/tests/scenarios/runner/main.cpp
@@ -2,7 +2,7 @@
 #include "tests/scenarios/runner/judge.h"
 #include "tests/scenarios/runner/plainhttp.h"
 #include "tests/scenarios/runner/script.h"
-#include "tests/scenarios/runner/world.h"
+#include "tests/scenarios/runner/testcluster.h"
 
 #include <chrono>
 #include <csignal>
@@ -53,8 +53,8 @@
 {
 public:
     Run(const std::string &build, const std::string &work)
-        : m_world(build, work)
-        , m_callers(std::make_unique<Callers>(m_world))
+        : m_cluster(build, work)
+        , m_callers(std::make_unique<Callers>(m_cluster))
     {
     }
 
@@ -71,7 +71,7 @@
     void finish()
     {
         m_callers->joinAll();
-        const auto broken = brokenPromises(m_callers->records(), readCounts(m_world));
+        const auto broken = brokenPromises(m_callers->records(), readCounts(m_cluster));
         printGroups();
         if (broken.empty()) {
             return;
@@ -101,15 +101,15 @@
 
     void store(const Line &line)
     {
-        m_world.addStore(line.options);
+        m_cluster.addStore(line.options);
     }
     void engine(const Line &line)
     {
-        m_world.addEngine(line.word(0), line.options);
+        m_cluster.addEngine(line.word(0), line.options);
     }
     void service(const Line &line)
     {
-        m_world.addService(line.word(0), line.options);
+        m_cluster.addService(line.word(0), line.options);
     }
     void adapter(const Line &line)
     {
@@ -117,23 +117,23 @@
         for (const auto &[name, value] : line.options) {
             labels += (labels.empty() ? "" : ", ") + name + "=" + value;
         }
-        m_world.addAdapter(line.word(0), labels);
+        m_cluster.addAdapter(line.word(0), labels);
     }
     void removeAdapter(const Line &line)
     {
-        m_world.removeAdapter(line.word(0));
+        m_cluster.removeAdapter(line.word(0));
     }
     void publish(const Line &)
     {
-        m_world.publish();
+        m_cluster.publish();
     }
     void node(const Line &line)
     {
-        m_world.addNode(line.word(0), line.options);
+        m_cluster.addNode(line.word(0), line.options);
     }
     void fault(const Line &line)
     {
-        FaultProxy::Faults &faults = m_world.faults(line.word(0));
+        FaultProxy::Faults &faults = m_cluster.faults(line.word(0));
         const std::map<std::string, std::function<void(int)>> setters { { "delay_ms", [&](int value) { faults.delayMs = value; } },
             { "cut_answer_after", [&](int value) { faults.cutAnswerAfter = value; } },
             { "cut_request_after", [&](int value) { faults.cutRequestAfter = value; } },
@@ -180,33 +180,33 @@
         }
         for (const std::string &a : sides[0]) {
             for (const std::string &b : sides[1]) {
-                m_world.partition().block(a, b);
-                m_world.partition().block(b, a);
+                m_cluster.partition().block(a, b);
+                m_cluster.partition().block(b, a);
             }
         }
     }
     void heal(const Line &)
     {
-        m_world.partition().clear();
+        m_cluster.partition().clear();
     }
     void pause(const Line &line)
     {
-        m_world.node(line.word(0)).signal(SIGSTOP);
+        m_cluster.node(line.word(0)).signal(SIGSTOP);
     }
     void resume(const Line &line)
     {
-        m_world.node(line.word(0)).signal(SIGCONT);
+        m_cluster.node(line.word(0)).signal(SIGCONT);
     }
     void kill(const Line &line)
     {
-        Process &process = m_world.node(line.word(0));
+        Process &process = m_cluster.node(line.word(0));
         process.signal(SIGKILL);
         process.waitEnd(DefaultWithinSeconds);
     }
     // term n1: asks for a graceful end and waits for it; the exit code must be 0. term n1 nowait: only asks.
     void term(const Line &line)
     {
-        Process &process = m_world.node(line.word(0));
+        Process &process = m_cluster.node(line.word(0));
         process.signal(SIGTERM);
         if (line.words.size() > 1 && line.words[1] == "nowait") {
             return;
@@ -217,7 +217,7 @@
     }
     void vm(const Line &line)
     {
-        m_world.setVm(line.word(0), line.word(1));
+        m_cluster.setVm(line.word(0), line.word(1));
     }
     // control UPSTREAM PATH: calls a control path of a stand-in, e.g. control e1 /control/restart.
     void control(const Line &line)
@@ -226,7 +226,7 @@
         for (const auto &[name, value] : line.options) {
             path += (path.find('?') == std::string::npos ? "?" : "&") + name + "=" + value;
         }
-        if (callHttp("http://" + m_world.directAddress(line.word(0)) + path, "", {}, StatusTimeoutMs).status != 200) {
+        if (callHttp("http://" + m_cluster.directAddress(line.word(0)) + path, "", {}, StatusTimeoutMs).status != 200) {
             throw std::runtime_error("control call failed");
         }
     }
@@ -293,7 +293,7 @@
     }
     bool nodeHolds(const std::string &name, const std::string &what, const Options &options)
     {
-        const std::string address = m_world.operatorAddress(name);
+        const std::string address = m_cluster.operatorAddress(name);
         if (what == "ready") {
             m_lastSeen = name + " not ready";
             return callHttp("http://" + address + "/readyz", "", {}, StatusTimeoutMs).status == 200;
@@ -308,21 +308,21 @@
             return std::cmp_equal(status["nodes"].size(), std::stoi(options.at("count")));
         }
         if (what == "config") {
-            return status.value("config_version", std::uint64_t { 0 }) >= m_world.publishedVersion();
+            return status.value("config_version", std::uint64_t { 0 }) >= m_cluster.publishedVersion();
         }
         throw std::runtime_error("cannot await '" + what + "'");
     }
     int totalRuns()
     {
         int total = 0;
-        for (const auto &[mark, count] : readCounts(m_world).runs) {
+        for (const auto &[mark, count] : readCounts(m_cluster).runs) {
             total += count;
         }
         return total;
     }
     bool began(const std::string &group)
     {
-        const Counts counts = readCounts(m_world);
+        const Counts counts = readCounts(m_cluster);
         const auto isOfGroup = [&](const auto &entry) { return entry.first.starts_with(group + "#"); };
         return std::any_of(counts.generated.begin(), counts.generated.end(), isOfGroup)
             || std::any_of(counts.runs.begin(), counts.runs.end(), isOfGroup);
@@ -365,7 +365,7 @@
     void expectRuns(const Line &line)
     {
         m_callers->join(line.word(0));
-        const Counts counts = readCounts(m_world);
+        const Counts counts = readCounts(m_cluster);
         for (const Record &record : m_callers->records()) {
             const auto at = counts.runs.find(record.mark);
             const int ran = at == counts.runs.end() ? 0 : at->second;
@@ -397,7 +397,7 @@
         const auto begun = [&] {
             int total = 0;
             for (const auto &[mark, count] :
-                Json::parse(callHttp("http://" + m_world.directAddress(line.word(0)) + "/control/prompts", "", {}, StatusTimeoutMs).body)
+                Json::parse(callHttp("http://" + m_cluster.directAddress(line.word(0)) + "/control/prompts", "", {}, StatusTimeoutMs).body)
                     .items()) {
                 total += count.get<int>();
             }
@@ -413,7 +413,7 @@
     // expect-load-rate max=: the weight store began at most so many loads a second since it started.
     void expectLoadRate(const Line &line)
     {
-        const double rate = m_world.loadsPerSecond();
+        const double rate = m_cluster.loadsPerSecond();
         std::cout << "  loads a second: " << rate << "\n";
         if (rate > std::stod(line.options.at("max"))) {
             throw std::runtime_error(std::to_string(rate) + " loads a second");
@@ -439,7 +439,7 @@
         }
     }
 
-    World m_world;
+    TestCluster m_cluster;
     std::unique_ptr<Callers> m_callers;
     std::string m_lastSeen;
 };
--- a/tests/scenarios/runner/script.h
+++ b/tests/scenarios/runner/script.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "tests/scenarios/runner/world.h"
+#include "tests/scenarios/runner/testcluster.h"
 
 #include <string>
 #include <vector>
--- a/tests/scenarios/runner/world.cpp
+++ b/tests/scenarios/runner/testcluster.cpp
@@ -1,4 +1,4 @@
-#include "tests/scenarios/runner/world.h"
+#include "tests/scenarios/runner/testcluster.h"
 
 #include "tests/scenarios/runner/plainhttp.h"
 
@@ -32,7 +32,7 @@
     bool isEngine = true;
 };
 
-struct NodeEntry
+struct ClusterNode
 {
     int number = 0;
     std::unique_ptr<Process> process;
@@ -78,7 +78,7 @@
     std::filesystem::rename(path + ".new", path);
 }
 
-std::string local(std::uint16_t port)
+std::string loopbackAddress(std::uint16_t port)
 {
     return "127.0.0.1:" + std::to_string(port);
 }
@@ -96,7 +96,7 @@
     return text.ends_with("ms") ? std::stod(text) / 1000 : std::stod(text);
 }
 
-struct World::Private
+struct TestCluster::Private
 {
     std::string build;
     std::string work;
@@ -109,7 +109,7 @@
     std::unique_ptr<FaultProxy::TcpProxy> vmlistProxy;
     std::map<std::string, std::string> adapters;
     std::map<std::string, Upstream> upstreams;
-    std::map<std::string, NodeEntry> nodes;
+    std::map<std::string, ClusterNode> nodes;
     std::map<std::string, std::string> vmStates;
     int publishCount = 0;
     std::uint64_t version = 0;
@@ -127,15 +127,15 @@
     {
         return build + "/tests/standins/standin";
     }
-    std::string nameOfPort(std::uint16_t port) const;
-    std::string nameOfIp(const std::string &ip) const;
-    std::unique_ptr<FaultProxy::TcpProxy> proxyTo(const std::string &name, std::uint16_t port) const;
+    std::string nodeNameByPort(std::uint16_t port) const;
+    std::string nodeNameByIp(const std::string &ip) const;
+    std::unique_ptr<FaultProxy::TcpProxy> createProxy(const std::string &name, std::uint16_t port) const;
     std::string catalogIni() const;
     void writeVmList() const;
-    void writeSettings(const std::string &name, const NodeEntry &node) const;
+    void writeSettings(const std::string &name, const ClusterNode &node) const;
 };
 
-std::string World::Private::nameOfPort(std::uint16_t port) const
+std::string TestCluster::Private::nodeNameByPort(std::uint16_t port) const
 {
     std::vector<pid_t> pids;
     std::map<pid_t, std::string> names;
@@ -151,7 +151,7 @@
     return names[ownerOfPort(port, pids)];
 }
 
-std::string World::Private::nameOfIp(const std::string &ip) const
+std::string TestCluster::Private::nodeNameByIp(const std::string &ip) const
 {
     const std::lock_guard lock(mutex);
     for (const auto &[name, node] : nodes) {
@@ -162,13 +162,13 @@
     return {};
 }
 
-std::unique_ptr<FaultProxy::TcpProxy> World::Private::proxyTo(const std::string &name, std::uint16_t port) const
+std::unique_ptr<FaultProxy::TcpProxy> TestCluster::Private::createProxy(const std::string &name, std::uint16_t port) const
 {
     return std::make_unique<FaultProxy::TcpProxy>(
-        "127.0.0.1", 0, "127.0.0.1", port, name, partition, [this](std::uint16_t peer) { return nameOfPort(peer); });
+        "127.0.0.1", 0, "127.0.0.1", port, name, partition, [this](std::uint16_t peer) { return nodeNameByPort(peer); });
 }
 
-std::string World::Private::catalogIni() const
+std::string TestCluster::Private::catalogIni() const
 {
     std::string ini = "[adapters]\n";
     for (const auto &[key, labels] : adapters) {
@@ -176,8 +176,8 @@
     }
     std::map<std::string, std::string> services;
     for (const auto &[name, upstream] : upstreams) {
-        ini += "[upstream " + name + "]\naddress = " + local(upstream.proxy->port()) + "\nzone = " + optionOr(upstream.options, "zone", "a")
-            + "\n";
+        ini += "[upstream " + name + "]\naddress = " + loopbackAddress(upstream.proxy->port())
+            + "\nzone = " + optionOr(upstream.options, "zone", "a") + "\n";
         if (upstream.isEngine) {
             ini += "slots = " + optionOr(upstream.options, "slots", "4") + "\nbatch = " + optionOr(upstream.options, "batch", "8") + "\n";
         } else {
@@ -194,7 +194,7 @@
     return ini;
 }
 
-void World::Private::writeVmList() const
+void TestCluster::Private::writeVmList() const
 {
     nlohmann::json vms = nlohmann::json::array();
     for (const auto &[name, node] : nodes) {
@@ -216,7 +216,7 @@
     writeFile(work + "/vms.json", nlohmann::json { { "vms", vms } }.dump());
 }
 
-void World::Private::writeSettings(const std::string &name, const NodeEntry &node) const
+void TestCluster::Private::writeSettings(const std::string &name, const ClusterNode &node) const
 {
     std::map<std::string, std::map<std::string, std::string>> sections {
         { "node", { { "id", name }, { "zone", optionOr(node.options, "zone", "a") } } },
@@ -227,8 +227,8 @@
             { { "address", node.ip() }, { "port", std::to_string(node.rpcPort) },
                 { "advertise", node.proxyIp() + ":" + std::to_string(node.rpcPort) } } },
         { "platform",
-            { { "config_url", "http://" + local(configProxy->port()) },
-                { "vm_list_url", "http://" + local(vmlistProxy->port()) + "/vms" } } },
+            { { "config_url", "http://" + loopbackAddress(configProxy->port()) },
+                { "vm_list_url", "http://" + loopbackAddress(vmlistProxy->port()) + "/vms" } } },
         { "fleet", { { "secret", "only-for-scenarios-0123456789" } } },
         { "shutdown", { { "linger_ms", "500" } } },
     };
@@ -248,14 +248,14 @@
     writeFile(work + "/" + name + ".ini", ini);
 }
 
-World::World(std::string buildFolder, std::string workFolder)
+TestCluster::TestCluster(std::string buildFolder, std::string workFolder)
     : d(std::make_unique<Private>())
 {
     d->build = std::move(buildFolder);
     d->work = std::move(workFolder);
 }
 
-World::~World()
+TestCluster::~TestCluster()
 {
     // Processes first: the proxies end when nobody speaks through them any more.
     for (auto &[name, node] : d->nodes) {
@@ -266,49 +266,49 @@
     }
 }
 
-void World::addStore(const Options &options)
+void TestCluster::addStore(const Options &options)
 {
     d->storeStartedAt = std::chrono::steady_clock::now();
     d->store = d->start("store",
         { d->standin(), "store", "--load-ms", optionOr(options, "load_ms", "50"), "--parallel", optionOr(options, "parallel", "8") });
 }
 
-void World::addEngine(const std::string &name, const Options &options)
+void TestCluster::addEngine(const std::string &name, const Options &options)
 {
     std::vector<std::string> arguments { d->standin(), "engine", "--slots", optionOr(options, "slots", "4"), "--batch",
         optionOr(options, "batch", "8"), "--token-ms", optionOr(options, "token_ms", "5") };
     if (d->store != nullptr) {
-        arguments.insert(arguments.end(), { "--store", "http://" + local(d->store->readyNumber("port")) });
+        arguments.insert(arguments.end(), { "--store", "http://" + loopbackAddress(d->store->readyNumber("port")) });
     }
     if (optionOr(options, "checks", "") == "fencing") {
         arguments.emplace_back("--checks-fencing");
     }
     Upstream &upstream = d->upstreams[name];
     upstream.process = d->start(name, arguments);
-    upstream.proxy = d->proxyTo(name, upstream.process->readyNumber("port"));
+    upstream.proxy = d->createProxy(name, upstream.process->readyNumber("port"));
     upstream.options = options;
 }
 
-void World::addService(const std::string &name, const Options &options)
+void TestCluster::addService(const std::string &name, const Options &options)
 {
     Upstream &upstream = d->upstreams[name];
     upstream.process = d->start(name, { d->standin(), "service" });
-    upstream.proxy = d->proxyTo(name, upstream.process->readyNumber("port"));
+    upstream.proxy = d->createProxy(name, upstream.process->readyNumber("port"));
     upstream.options = options;
     upstream.isEngine = false;
 }
 
-void World::addAdapter(const std::string &key, const std::string &labels)
+void TestCluster::addAdapter(const std::string &key, const std::string &labels)
 {
     d->adapters[key] = labels;
 }
 
-void World::removeAdapter(const std::string &key)
+void TestCluster::removeAdapter(const std::string &key)
 {
     d->adapters.erase(key);
 }
 
-void World::publish()
+void TestCluster::publish()
 {
     const std::string input = d->work + "/catalog.ini";
     const std::string values = d->work + "/values";
@@ -322,17 +322,17 @@
     d->version = nlohmann::json::parse(head).at("version").get<std::uint64_t>();
     if (d->config == nullptr) {
         d->config = d->start("config", { d->standin(), "config", "--dir", values });
-        d->configProxy = d->proxyTo("config", d->config->readyNumber("port"));
+        d->configProxy = d->createProxy("config", d->config->readyNumber("port"));
         d->writeVmList();
         d->vmlist = d->start("vmlist", { d->standin(), "vmlist", "--file", d->work + "/vms.json" });
-        d->vmlistProxy = d->proxyTo("vmlist", d->vmlist->readyNumber("port"));
+        d->vmlistProxy = d->createProxy("vmlist", d->vmlist->readyNumber("port"));
     }
 }
 
-void World::addNode(const std::string &name, const Options &options)
+void TestCluster::addNode(const std::string &name, const Options &options)
 {
     const bool isNew = !d->nodes.contains(name);
-    NodeEntry *node = nullptr;
+    ClusterNode *node = nullptr;
     {
         const std::lock_guard lock(d->mutex);
         node = &d->nodes[name];
@@ -344,10 +344,10 @@
         node->rpcPort = freePort(node->ip(), SOCK_STREAM);
         node->membershipPort = freePort(node->ip(), SOCK_DGRAM);
         node->rpc = std::make_unique<FaultProxy::TcpProxy>(node->proxyIp(), node->rpcPort, node->ip(), node->rpcPort, name, d->partition,
-            [this](std::uint16_t peer) { return d->nameOfPort(peer); });
+            [this](std::uint16_t peer) { return d->nodeNameByPort(peer); });
         node->membership = std::make_unique<FaultProxy::UdpProxy>(
             node->proxyIp(), node->membershipPort, node->ip(), name, d->partition,
-            [this](const std::string &ip) { return d->nameOfIp(ip); }, ProxySeed + static_cast<std::uint64_t>(node->number));
+            [this](const std::string &ip) { return d->nodeNameByIp(ip); }, ProxySeed + static_cast<std::uint64_t>(node->number));
     }
     d->writeSettings(name, *node);
     auto process = d->start(name, { d->build + "/main/apricotstep", "node", "--settings", d->work + "/" + name + ".ini" });
@@ -359,7 +359,7 @@
     d->writeVmList();
 }
 
-Process &World::node(const std::string &name)
+Process &TestCluster::node(const std::string &name)
 {
     const auto at = d->nodes.find(name);
     if (at == d->nodes.end() || at->second.process == nullptr) {
@@ -368,14 +368,14 @@
     return *at->second.process;
 }
 
-void World::setVm(const std::string &id, const std::string &state)
+void TestCluster::setVm(const std::string &id, const std::string &state)
 {
     const std::lock_guard lock(d->mutex);
     d->vmStates[id] = state;
     d->writeVmList();
 }
 
-FaultProxy::Faults &World::faults(const std::string &target)
+FaultProxy::Faults &TestCluster::faults(const std::string &target)
 {
     const std::size_t dot = target.find('.');
     const auto node = d->nodes.find(target.substr(0, dot));
@@ -395,12 +395,12 @@
     return upstream->second.proxy->faults();
 }
 
-FaultProxy::Partition &World::partition()
+FaultProxy::Partition &TestCluster::partition()
 {
     return d->partition;
 }
 
-std::vector<std::string> World::nodeAddresses() const
+std::vector<std::string> TestCluster::nodeAddresses() const
 {
     const std::lock_guard lock(d->mutex);
     std::vector<std::string> addresses;
@@ -412,39 +412,40 @@
     return addresses;
 }
 
-std::string World::callerAddress(const std::string &node) const
+std::string TestCluster::callerAddress(const std::string &node) const
 {
     const std::lock_guard lock(d->mutex);
-    const NodeEntry &entry = d->nodes.at(node);
+    const ClusterNode &entry = d->nodes.at(node);
     return entry.ip() + ":" + std::to_string(entry.callerPort);
 }
 
-std::string World::operatorAddress(const std::string &node) const
+std::string TestCluster::operatorAddress(const std::string &node) const
 {
     const std::lock_guard lock(d->mutex);
-    const NodeEntry &entry = d->nodes.at(node);
+    const ClusterNode &entry = d->nodes.at(node);
     return entry.ip() + ":" + std::to_string(entry.operatorPort);
 }
 
-std::string World::directAddress(const std::string &upstream) const
+std::string TestCluster::directAddress(const std::string &upstream) const
 {
-    return local(d->upstreams.at(upstream).process->readyNumber("port"));
+    return loopbackAddress(d->upstreams.at(upstream).process->readyNumber("port"));
 }
 
-double World::loadsPerSecond() const
+double TestCluster::loadsPerSecond() const
 {
     constexpr int TimeoutMs = 3000;
     const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - d->storeStartedAt;
-    return std::atof(callHttp("http://" + local(d->store->readyNumber("port")) + "/control/loads", "", {}, TimeoutMs).body.c_str())
+    return std::atof(
+               callHttp("http://" + loopbackAddress(d->store->readyNumber("port")) + "/control/loads", "", {}, TimeoutMs).body.c_str())
         / elapsed.count();
 }
 
-std::uint64_t World::publishedVersion() const
+std::uint64_t TestCluster::publishedVersion() const
 {
     return d->version;
 }
 
-std::vector<std::string> World::engines() const
+std::vector<std::string> TestCluster::engines() const
 {
     std::vector<std::string> names;
     for (const auto &[name, upstream] : d->upstreams) {
@@ -455,7 +456,7 @@
     return names;
 }
 
-std::vector<std::string> World::services() const
+std::vector<std::string> TestCluster::services() const
 {
     std::vector<std::string> names;
     for (const auto &[name, upstream] : d->upstreams) {
--- a/tests/scenarios/runner/world.h
+++ b/tests/scenarios/runner/testcluster.h
@@ -24,12 +24,12 @@
  * The processes of one scenario, and the proxies between them. Upstreams and the platform are reached through TCP proxies; nodes reach each
  * other through proxies on IP numbers of their own. Thread-safe where callers need it (nodeAddresses).
  */
-class World
+class TestCluster
 {
 public:
     /** @p buildFolder holds the programs, @p workFolder the files and logs of this run. */
-    World(std::string buildFolder, std::string workFolder);
-    ~World();
+    TestCluster(std::string buildFolder, std::string workFolder);
+    ~TestCluster();
 
     void addStore(const Options &options);
     void addEngine(const std::string &name, const Options &options);
