--- a/tests/scenarios/runner/callers.h
+++ b/tests/scenarios/runner/callers.h
@@ -19,15 +19,15 @@
     /** Failed with an answer that says that it may have run. */
     MayHaveRun,
     /** An answer broke off, and the caller could see that it did. */
-    Broken,
+    Interrupted,
     /** No answer at all: the connection failed. */
-    NoAnswer,
+    NoResponse,
 };
 
 /** What a caller saw of one answer. */
-struct Answer
+struct Attempt
 {
-    Outcome outcome = Outcome::NoAnswer;
+    Outcome outcome = Outcome::NoResponse;
     int status = 0;
     /** The error word, when there is one. */
     std::string code;
@@ -36,7 +36,7 @@
     std::string adapter;
     std::string body;
     /** The connection ended well although the answer is not whole: the caller would take half for all. */
-    bool isSilentlyCut = false;
+    bool isSilentlyTruncated = false;
     /** Where the chat was sent; empty when no address could be had. */
     std::string address;
     /** From the start of the request to the end of this try. */
@@ -44,21 +44,21 @@
 };
 
 /** One request of a caller with all its tries. */
-struct Record
+struct RequestRecord
 {
     std::string group;
     /** Unique text that the engine echoes and the service counts by. */
-    std::string mark;
+    std::string tag;
     bool isPayment = false;
     /** Adapters that would be right, id@version; empty accepts any. */
     std::vector<std::string> allowed;
-    std::vector<Answer> answers;
+    std::vector<Attempt> attempts;
     /** Time from the start to the end of the last answer. */
     double seconds = 0;
 
-    const Answer &last() const
+    const Attempt &lastAttempt() const
     {
-        return answers.back();
+        return attempts.back();
     }
 };
 
@@ -81,7 +81,7 @@
     void join(const std::string &group);
     void joinAll();
 
-    std::vector<Record> records() const;
+    std::vector<RequestRecord> records() const;
 
 private:
     struct Private;
--- a/tests/scenarios/runner/judge.h
+++ b/tests/scenarios/runner/invariants.h
@@ -10,7 +10,7 @@
 {
 
 /** What the stand-ins counted. */
-struct Counts
+struct StandinCounts
 {
     /** How often an engine began to generate for a mark. */
     std::map<std::string, int> generated;
@@ -19,9 +19,9 @@
     int evictedInUse = 0;
 };
 
-Counts readCounts(const TestCluster &cluster);
+StandinCounts readCounts(const TestCluster &cluster);
 
 /** Each broken promise as a sentence; empty when all were kept. Judged by what callers received and the stand-ins counted. */
-std::vector<std::string> brokenPromises(const std::vector<Record> &records, const Counts &counts);
+std::vector<std::string> findViolations(const std::vector<RequestRecord> &records, const StandinCounts &counts);
 
 } // namespace Scenario
--- a/tests/scenarios/runner/main.cpp
+++ b/tests/scenarios/runner/main.cpp
@@ -1,5 +1,5 @@
 #include "tests/scenarios/runner/callers.h"
-#include "tests/scenarios/runner/judge.h"
+#include "tests/scenarios/runner/invariants.h"
 #include "tests/scenarios/runner/plainhttp.h"
 #include "tests/scenarios/runner/script.h"
 #include "tests/scenarios/runner/testcluster.h"
@@ -23,7 +23,7 @@
 
 using Json = nlohmann::json;
 
-constexpr double DefaultWithinSeconds = 30;
+constexpr double DefaultTimeoutSeconds = 30;
 constexpr int PollMs = 50;
 constexpr int StatusTimeoutMs = 1000;
 
@@ -32,7 +32,7 @@
     std::this_thread::sleep_for(std::chrono::duration<double>(seconds));
 }
 
-std::string outcomeWord(Outcome outcome)
+std::string outcomeName(Outcome outcome)
 {
     switch (outcome) {
     case Outcome::Ok:
@@ -41,24 +41,24 @@
         return "not_run";
     case Outcome::MayHaveRun:
         return "may_have_run";
-    case Outcome::Broken:
+    case Outcome::Interrupted:
         return "broken";
-    case Outcome::NoAnswer:
+    case Outcome::NoResponse:
         return "no_answer";
     }
     return "";
 }
 
-class Run
+class ScenarioRunner
 {
 public:
-    Run(const std::string &build, const std::string &work)
+    ScenarioRunner(const std::string &build, const std::string &work)
         : m_cluster(build, work)
         , m_callers(std::make_unique<Callers>(m_cluster))
     {
     }
 
-    void carryOut(const Line &line)
+    void execute(const Line &line)
     {
         const auto at = commands().find(line.command);
         if (at == commands().end()) {
@@ -71,31 +71,34 @@
     void finish()
     {
         m_callers->joinAll();
-        const auto broken = brokenPromises(m_callers->records(), readCounts(m_cluster));
+        const auto violations = findViolations(m_callers->records(), readCounts(m_cluster));
         printGroups();
-        if (broken.empty()) {
+        if (violations.empty()) {
             return;
         }
-        std::string all = "broken promises: " + std::to_string(broken.size());
-        for (std::size_t i = 0; i < std::min<std::size_t>(broken.size(), 10); ++i) {
-            all += "\n  " + broken[i];
+        std::string all = "broken promises: " + std::to_string(violations.size());
+        for (std::size_t i = 0; i < std::min<std::size_t>(violations.size(), 10); ++i) {
+            all += "\n  " + violations[i];
         }
         throw std::runtime_error(all);
     }
 
 private:
-    using Command = void (Run::*)(const Line &);
+    using Command = void (ScenarioRunner::*)(const Line &);
 
     static const std::map<std::string, Command> &commands()
     {
-        static const std::map<std::string, Command> all { { "store", &Run::store }, { "engine", &Run::engine },
-            { "service", &Run::service }, { "adapter", &Run::adapter }, { "remove-adapter", &Run::removeAdapter },
-            { "publish", &Run::publish }, { "node", &Run::node }, { "fault", &Run::fault }, { "partition", &Run::partition },
-            { "heal", &Run::heal }, { "pause", &Run::pause }, { "resume", &Run::resume }, { "kill", &Run::kill }, { "term", &Run::term },
-            { "vm", &Run::vm }, { "control", &Run::control }, { "chat", &Run::chat }, { "pay", &Run::pay }, { "key", &Run::key },
-            { "load", &Run::load }, { "join", &Run::join }, { "await", &Run::await }, { "expect", &Run::expect },
-            { "expect-runs", &Run::expectRuns }, { "expect-share", &Run::expectShare }, { "expect-quiet", &Run::expectQuiet },
-            { "expect-load-rate", &Run::expectLoadRate }, { "sleep", &Run::sleep } };
+        static const std::map<std::string, Command> all { { "store", &ScenarioRunner::store }, { "engine", &ScenarioRunner::engine },
+            { "service", &ScenarioRunner::service }, { "adapter", &ScenarioRunner::adapter },
+            { "remove-adapter", &ScenarioRunner::removeAdapter }, { "publish", &ScenarioRunner::publish },
+            { "node", &ScenarioRunner::node }, { "fault", &ScenarioRunner::fault }, { "partition", &ScenarioRunner::partition },
+            { "heal", &ScenarioRunner::heal }, { "pause", &ScenarioRunner::pause }, { "resume", &ScenarioRunner::resume },
+            { "kill", &ScenarioRunner::kill }, { "term", &ScenarioRunner::term }, { "vm", &ScenarioRunner::vm },
+            { "control", &ScenarioRunner::control }, { "chat", &ScenarioRunner::chat }, { "pay", &ScenarioRunner::pay },
+            { "key", &ScenarioRunner::key }, { "load", &ScenarioRunner::load }, { "join", &ScenarioRunner::join },
+            { "await", &ScenarioRunner::await }, { "expect", &ScenarioRunner::expect }, { "expect-runs", &ScenarioRunner::expectRuns },
+            { "expect-share", &ScenarioRunner::expectShare }, { "expect-quiet", &ScenarioRunner::expectQuiet },
+            { "expect-load-rate", &ScenarioRunner::expectLoadRate }, { "sleep", &ScenarioRunner::sleep } };
         return all;
     }
 
@@ -201,7 +204,7 @@
     {
         Process &process = m_cluster.node(line.word(0));
         process.signal(SIGKILL);
-        process.waitEnd(DefaultWithinSeconds);
+        process.waitForExit(DefaultTimeoutSeconds);
     }
     // term n1: asks for a graceful end and waits for it; the exit code must be 0. term n1 nowait: only asks.
     void term(const Line &line)
@@ -211,7 +214,7 @@
         if (line.words.size() > 1 && line.words[1] == "nowait") {
             return;
         }
-        if (!process.waitEnd(DefaultWithinSeconds) || process.exitCode() != 0) {
+        if (!process.waitForExit(DefaultTimeoutSeconds) || process.exitCode() != 0) {
             throw std::runtime_error(line.word(0) + " did not end gracefully, exit code " + std::to_string(process.exitCode()));
         }
     }
@@ -232,11 +235,11 @@
     }
     void chat(const Line &line)
     {
-        m_callers->chat(line.word(0), withFlags(line));
+        m_callers->chat(line.word(0), optionsWithFlags(line));
     }
     void pay(const Line &line)
     {
-        m_callers->pay(line.word(0), withFlags(line));
+        m_callers->pay(line.word(0), optionsWithFlags(line));
     }
     void key(const Line &line)
     {
@@ -244,7 +247,7 @@
     }
     void load(const Line &line)
     {
-        m_callers->load(line.word(0), withFlags(line));
+        m_callers->load(line.word(0), optionsWithFlags(line));
     }
     void join(const Line &line)
     {
@@ -252,7 +255,7 @@
             m_callers->join(group);
         }
     }
-    static Options withFlags(const Line &line)
+    static Options optionsWithFlags(const Line &line)
     {
         Options options = line.options;
         for (std::size_t i = 1; i < line.words.size(); ++i) {
@@ -264,65 +267,65 @@
     // await WHAT ... within=SECONDS: waits on an event with a generous bound.
     void await(const Line &line)
     {
-        const double within = secondsOf(optionOr(line.options, "within", std::to_string(DefaultWithinSeconds)));
-        const auto until = std::chrono::steady_clock::now() + std::chrono::duration<double>(within);
-        while (!holds(line)) {
-            if (std::chrono::steady_clock::now() > until) {
-                throw std::runtime_error("did not come about within " + std::to_string(within) + " s; last seen: " + m_lastSeen);
+        const double timeout = parseSeconds(optionOr(line.options, "within", std::to_string(DefaultTimeoutSeconds)));
+        const auto deadline = std::chrono::steady_clock::now() + std::chrono::duration<double>(timeout);
+        while (!isConditionMet(line)) {
+            if (std::chrono::steady_clock::now() > deadline) {
+                throw std::runtime_error("did not come about within " + std::to_string(timeout) + " s; last seen: " + m_lastSeen);
             }
             sleepSeconds(PollMs / 1000.0);
         }
     }
-    bool holds(const Line &line)
+    bool isConditionMet(const Line &line)
     {
-        const std::string &what = line.word(0);
-        if (what == "runs") {
+        const std::string &condition = line.word(0);
+        if (condition == "runs") {
             const int total = totalRuns();
             m_lastSeen = std::to_string(total) + " runs";
             return total >= std::stoi(line.options.at("total"));
         }
-        if (what == "began") {
-            return began(line.word(1));
+        if (condition == "began") {
+            return hasStarted(line.word(1));
         }
         for (std::size_t i = 1; i < line.words.size(); ++i) {
-            if (!nodeHolds(line.words[i], what, line.options)) {
+            if (!isNodeConditionMet(line.words[i], condition, line.options)) {
                 return false;
             }
         }
         return true;
     }
-    bool nodeHolds(const std::string &name, const std::string &what, const Options &options)
+    bool isNodeConditionMet(const std::string &name, const std::string &condition, const Options &options)
     {
         const std::string address = m_cluster.operatorAddress(name);
-        if (what == "ready") {
+        if (condition == "ready") {
             m_lastSeen = name + " not ready";
             return callHttp("http://" + address + "/readyz", "", {}, StatusTimeoutMs).status == 200;
         }
-        const HttpReply reply = callHttp("http://" + address + "/status", "", {}, StatusTimeoutMs);
-        const Json status = Json::parse(reply.body, nullptr, false);
-        m_lastSeen = name + ": " + reply.body.substr(0, 2000);
+        const HttpResponse response = callHttp("http://" + address + "/status", "", {}, StatusTimeoutMs);
+        const Json status = Json::parse(response.body, nullptr, false);
+        m_lastSeen = name + ": " + response.body.substr(0, 2000);
         if (!status.is_object()) {
             return false;
         }
-        if (what == "nodes") {
+        if (condition == "nodes") {
             return std::cmp_equal(status["nodes"].size(), std::stoi(options.at("count")));
         }
-        if (what == "config") {
+        if (condition == "config") {
             return status.value("config_version", std::uint64_t { 0 }) >= m_cluster.publishedVersion();
         }
-        throw std::runtime_error("cannot await '" + what + "'");
+        throw std::runtime_error("cannot await '" + condition + "'");
     }
     int totalRuns()
     {
         int total = 0;
-        for (const auto &[mark, count] : readCounts(m_cluster).runs) {
+        for (const auto &[tag, count] : readCounts(m_cluster).runs) {
             total += count;
         }
         return total;
     }
-    bool began(const std::string &group)
+    bool hasStarted(const std::string &group)
     {
-        const Counts counts = readCounts(m_cluster);
+        const StandinCounts counts = readCounts(m_cluster);
         const auto isOfGroup = [&](const auto &entry) { return entry.first.starts_with(group + "#"); };
         return std::any_of(counts.generated.begin(), counts.generated.end(), isOfGroup)
             || std::any_of(counts.runs.begin(), counts.runs.end(), isOfGroup);
@@ -332,46 +335,47 @@
     void expect(const Line &line)
     {
         m_callers->join(line.word(0));
-        for (const Record &record : m_callers->records()) {
+        for (const RequestRecord &record : m_callers->records()) {
             if (record.group == line.word(0)) {
                 expectRecord(record, line.options);
             }
         }
     }
     // What a caller met on the way to its last answer.
-    static std::string triesOf(const Record &record)
+    static std::string describeAttempts(const RequestRecord &record)
     {
-        std::ostringstream tries;
-        for (const Answer &answer : record.answers) {
-            tries << "\n    after " << answer.endedAfter << " s: " << (answer.address.empty() ? "no address" : answer.address) << " "
-                  << outcomeWord(answer.outcome) << " " << answer.code;
+        std::ostringstream text;
+        for (const Attempt &attempt : record.attempts) {
+            text << "\n    after " << attempt.endedAfter << " s: " << (attempt.address.empty() ? "no address" : attempt.address) << " "
+                 << outcomeName(attempt.outcome) << " " << attempt.code;
         }
-        return tries.str();
+        return text.str();
     }
-    static void expectRecord(const Record &record, const Options &options)
+    static void expectRecord(const RequestRecord &record, const Options &options)
     {
-        const Answer &last = record.last();
-        const std::string seen =
-            outcomeWord(last.outcome) + " status=" + std::to_string(last.status) + " code=" + last.code + " adapter=" + last.adapter;
-        const std::string wanted = "," + optionOr(options, "outcome", outcomeWord(last.outcome)) + ",";
-        const std::string codes = "," + optionOr(options, "code", last.code) + ",";
-        const bool isAsWanted = wanted.find("," + outcomeWord(last.outcome) + ",") != std::string::npos
-            && codes.find("," + last.code + ",") != std::string::npos && optionOr(options, "adapter", last.adapter) == last.adapter;
-        if (!isAsWanted) {
-            throw std::runtime_error(record.mark + ": got " + seen + triesOf(record));
+        const Attempt &lastAttempt = record.lastAttempt();
+        const std::string actual = outcomeName(lastAttempt.outcome) + " status=" + std::to_string(lastAttempt.status)
+            + " code=" + lastAttempt.code + " adapter=" + lastAttempt.adapter;
+        const std::string expectedOutcomes = "," + optionOr(options, "outcome", outcomeName(lastAttempt.outcome)) + ",";
+        const std::string expectedCodes = "," + optionOr(options, "code", lastAttempt.code) + ",";
+        const bool isExpected = expectedOutcomes.find("," + outcomeName(lastAttempt.outcome) + ",") != std::string::npos
+            && expectedCodes.find("," + lastAttempt.code + ",") != std::string::npos
+            && optionOr(options, "adapter", lastAttempt.adapter) == lastAttempt.adapter;
+        if (!isExpected) {
+            throw std::runtime_error(record.tag + ": got " + actual + describeAttempts(record));
         }
     }
     // expect-runs GROUP min= max=: how often each one-time request of the group ran.
     void expectRuns(const Line &line)
     {
         m_callers->join(line.word(0));
-        const Counts counts = readCounts(m_cluster);
-        for (const Record &record : m_callers->records()) {
-            const auto at = counts.runs.find(record.mark);
-            const int ran = at == counts.runs.end() ? 0 : at->second;
+        const StandinCounts counts = readCounts(m_cluster);
+        for (const RequestRecord &record : m_callers->records()) {
+            const auto at = counts.runs.find(record.tag);
+            const int runCount = at == counts.runs.end() ? 0 : at->second;
             if (record.group == line.word(0)
-                && (ran < std::stoi(optionOr(line.options, "min", "0")) || ran > std::stoi(optionOr(line.options, "max", "1")))) {
-                throw std::runtime_error(record.mark + " ran " + std::to_string(ran) + " times");
+                && (runCount < std::stoi(optionOr(line.options, "min", "0")) || runCount > std::stoi(optionOr(line.options, "max", "1")))) {
+                throw std::runtime_error(record.tag + " ran " + std::to_string(runCount) + " times");
             }
         }
     }
@@ -381,10 +385,10 @@
         m_callers->join(line.word(0));
         int all = 0;
         int ok = 0;
-        for (const Record &record : m_callers->records()) {
+        for (const RequestRecord &record : m_callers->records()) {
             if (record.group == line.word(0)) {
                 ++all;
-                ok += record.last().outcome == Outcome::Ok ? 1 : 0;
+                ok += record.lastAttempt().outcome == Outcome::Ok ? 1 : 0;
             }
         }
         if (all == 0 || ok * 100 < std::stoi(line.options.at("ok")) * all) {
@@ -394,18 +398,18 @@
     // expect-quiet UPSTREAM for=SECONDS: the upstream begins no new work in that time.
     void expectQuiet(const Line &line)
     {
-        const auto begun = [&] {
+        const auto countStarted = [&] {
             int total = 0;
-            for (const auto &[mark, count] :
+            for (const auto &[tag, count] :
                 Json::parse(callHttp("http://" + m_cluster.directAddress(line.word(0)) + "/control/prompts", "", {}, StatusTimeoutMs).body)
                     .items()) {
                 total += count.get<int>();
             }
             return total;
         };
-        const int before = begun();
-        sleepSeconds(secondsOf(line.options.at("for")));
-        const int after = begun();
+        const int before = countStarted();
+        sleepSeconds(parseSeconds(line.options.at("for")));
+        const int after = countStarted();
         if (after != before) {
             throw std::runtime_error(line.word(0) + " got " + std::to_string(after - before) + " new requests");
         }
@@ -421,14 +425,14 @@
     }
     void sleep(const Line &line)
     {
-        sleepSeconds(secondsOf(line.word(0)));
+        sleepSeconds(parseSeconds(line.word(0)));
     }
 
     void printGroups() const
     {
         std::map<std::string, std::map<std::string, int>> groups;
-        for (const Record &record : m_callers->records()) {
-            ++groups[record.group][outcomeWord(record.last().outcome)];
+        for (const RequestRecord &record : m_callers->records()) {
+            ++groups[record.group][outcomeName(record.lastAttempt().outcome)];
         }
         for (const auto &[group, outcomes] : groups) {
             std::cout << "  " << group << ":";
@@ -459,12 +463,12 @@
     bool isPassed = false;
     try {
         const auto lines = readScript(argv[2]);
-        Run run(std::filesystem::absolute(argv[1]).string(), work);
+        ScenarioRunner runner(std::filesystem::absolute(argv[1]).string(), work);
         for (const Line &line : lines) {
             number = line.number;
-            run.carryOut(line);
+            runner.execute(line);
         }
-        run.finish();
+        runner.finish();
         isPassed = true;
     } catch (const std::exception &exception) {
         std::cout << argv[2] << ":" << number << ": " << exception.what() << "\n  logs: " << work << "\n";
--- a/tests/scenarios/runner/plainhttp.h
+++ b/tests/scenarios/runner/plainhttp.h
@@ -7,12 +7,12 @@
 namespace Scenario
 {
 
-struct HttpReply
+struct HttpResponse
 {
     /** 0 when no answer came. */
     int status = 0;
     /** The connection broke before the answer was whole. */
-    bool isBroken = false;
+    bool isIncomplete = false;
     /** Nothing of the request can have left. */
     bool isUnsent = false;
     /** Names in lower case. */
@@ -21,6 +21,6 @@
 };
 
 /** One blocking HTTP call on a connection of its own; POST when there is a body. */
-HttpReply callHttp(const std::string &url, const std::string &body, const std::vector<std::string> &headers, int timeoutMs);
+HttpResponse callHttp(const std::string &url, const std::string &body, const std::vector<std::string> &headers, int timeoutMs);
 
 } // namespace Scenario
--- a/tests/scenarios/runner/process.cpp
+++ b/tests/scenarios/runner/process.cpp
@@ -36,10 +36,10 @@
 }
 
 // The inode of the socket with this local port, from the kernel's table of TCP sockets.
-std::string inodeOfPort(std::uint16_t port)
+std::string findSocketInode(std::uint16_t port)
 {
-    char wanted[8];
-    std::snprintf(wanted, sizeof wanted, ":%04X", port);
+    char pattern[8];
+    std::snprintf(pattern, sizeof pattern, ":%04X", port);
     std::ifstream table("/proc/net/tcp");
     for (std::string line; std::getline(table, line);) {
         std::istringstream columns(line);
@@ -50,7 +50,7 @@
                 local = column;
             }
         }
-        if (local.ends_with(wanted) && column != "0") {
+        if (local.ends_with(pattern) && column != "0") {
             return column;
         }
     }
@@ -67,31 +67,31 @@
         throw std::runtime_error("no pipe");
     }
     const int log = open(logFile.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
-    std::vector<char *> words;
+    std::vector<char *> argv;
     for (const std::string &argument : arguments) {
-        words.push_back(const_cast<char *>(argument.c_str()));
+        argv.push_back(const_cast<char *>(argument.c_str()));
     }
-    words.push_back(nullptr);
+    argv.push_back(nullptr);
     m_pid = fork();
     if (m_pid == 0) {
         prctl(PR_SET_PDEATHSIG, SIGKILL); // Nothing is left behind when the runner dies.
         dup2(pipes[1], STDOUT_FILENO);
         dup2(log, STDERR_FILENO);
-        execv(words[0], words.data());
+        execv(argv[0], argv.data());
         _exit(127);
     }
     close(pipes[1]);
     close(log);
-    m_ready = readLine(pipes[0]);
+    m_readyLine = readLine(pipes[0]);
     close(pipes[0]);
-    if (!m_ready.starts_with("ready")) {
+    if (!m_readyLine.starts_with("ready")) {
         throw std::runtime_error(m_name + " did not become ready; see " + logFile);
     }
 }
 
 Process::~Process()
 {
-    if (!m_isEnded) {
+    if (!m_hasExited) {
         signal(SIGCONT);
         signal(SIGKILL);
         reap(true);
@@ -100,13 +100,13 @@
 
 std::uint16_t Process::readyNumber(const std::string &key) const
 {
-    const std::size_t at = m_ready.find(key + "=");
-    return at == std::string::npos ? 0 : static_cast<std::uint16_t>(std::atoi(m_ready.c_str() + at + key.size() + 1));
+    const std::size_t at = m_readyLine.find(key + "=");
+    return at == std::string::npos ? 0 : static_cast<std::uint16_t>(std::atoi(m_readyLine.c_str() + at + key.size() + 1));
 }
 
 void Process::signal(int number)
 {
-    if (!m_isEnded) {
+    if (!m_hasExited) {
         kill(m_pid, number);
     }
 }
@@ -114,8 +114,8 @@
 void Process::reap(bool isBlocking)
 {
     int status = 0;
-    if (!m_isEnded && waitpid(m_pid, &status, isBlocking ? 0 : WNOHANG) == m_pid) {
-        m_isEnded = true;
+    if (!m_hasExited && waitpid(m_pid, &status, isBlocking ? 0 : WNOHANG) == m_pid) {
+        m_hasExited = true;
         m_exitCode = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
     }
 }
@@ -123,14 +123,14 @@
 bool Process::isRunning()
 {
     reap(false);
-    return !m_isEnded;
+    return !m_hasExited;
 }
 
-bool Process::waitEnd(double seconds)
+bool Process::waitForExit(double seconds)
 {
-    const auto until = std::chrono::steady_clock::now() + std::chrono::duration<double>(seconds);
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::duration<double>(seconds);
     while (isRunning()) {
-        if (std::chrono::steady_clock::now() > until) {
+        if (std::chrono::steady_clock::now() > deadline) {
             return false;
         }
         std::this_thread::sleep_for(std::chrono::milliseconds(20));
@@ -138,17 +138,17 @@
     return true;
 }
 
-pid_t ownerOfPort(std::uint16_t port, const std::vector<pid_t> &pids)
+pid_t findProcessByPort(std::uint16_t port, const std::vector<pid_t> &pids)
 {
-    const std::string inode = inodeOfPort(port);
+    const std::string inode = findSocketInode(port);
     if (inode.empty()) {
         return -1;
     }
-    const std::string wanted = "socket:[" + inode + "]";
+    const std::string pattern = "socket:[" + inode + "]";
     for (const pid_t pid : pids) {
         std::error_code ignored;
         for (const auto &entry : std::filesystem::directory_iterator("/proc/" + std::to_string(pid) + "/fd", ignored)) {
-            if (std::filesystem::read_symlink(entry.path(), ignored).string() == wanted) {
+            if (std::filesystem::read_symlink(entry.path(), ignored).string() == pattern) {
                 return pid;
             }
         }
--- a/tests/scenarios/runner/process.h
+++ b/tests/scenarios/runner/process.h
@@ -31,7 +31,7 @@
     void signal(int number);
     bool isRunning();
     /** Waits for the end; false when it does not come within @p seconds. The exit code is then in exitCode(). */
-    bool waitEnd(double seconds);
+    bool waitForExit(double seconds);
     /** -1 while it runs or when a signal ended it. */
     int exitCode() const
     {
@@ -43,12 +43,12 @@
 
     std::string m_name;
     pid_t m_pid = -1;
-    std::string m_ready;
+    std::string m_readyLine;
     int m_exitCode = -1;
-    bool m_isEnded = false;
+    bool m_hasExited = false;
 };
 
 /** The process of this machine that holds the TCP socket with local port @p port, among @p pids; -1 when none does. */
-pid_t ownerOfPort(std::uint16_t port, const std::vector<pid_t> &pids);
+pid_t findProcessByPort(std::uint16_t port, const std::vector<pid_t> &pids);
 
 } // namespace Scenario
--- a/tests/scenarios/runner/testcluster.cpp
+++ b/tests/scenarios/runner/testcluster.cpp
@@ -91,7 +91,7 @@
     return at == options.end() ? fallback : at->second;
 }
 
-double secondsOf(const std::string &text)
+double parseSeconds(const std::string &text)
 {
     return text.ends_with("ms") ? std::stod(text) / 1000 : std::stod(text);
 }
@@ -148,7 +148,7 @@
             }
         }
     }
-    return names[ownerOfPort(port, pids)];
+    return names[findProcessByPort(port, pids)];
 }
 
 std::string TestCluster::Private::nodeNameByIp(const std::string &ip) const
--- a/tests/scenarios/runner/testcluster.h
+++ b/tests/scenarios/runner/testcluster.h
@@ -18,7 +18,7 @@
 std::string optionOr(const Options &options, const std::string &key, const std::string &fallback);
 
 /** A span as a script writes it, in seconds or with "ms" in milliseconds. */
-double secondsOf(const std::string &text);
+double parseSeconds(const std::string &text);
 
 /**
  * The processes of one scenario, and the proxies between them. Upstreams and the platform are reached through TCP proxies; nodes reach each
