--- a/tests/scenarios/runner/callers.cpp
+++ b/tests/scenarios/runner/callers.cpp
@@ -34,7 +34,7 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(milliseconds));
 }
 
-// The text of a streamed or whole completion.
+// Returns the text of a streamed or non-streamed completion.
 std::string contentOf(const std::string &body, bool isStream)
 {
     std::string content;
@@ -58,7 +58,7 @@
     const auto adapter = response.headers.find("x-adapter");
     attempt.adapter = adapter == response.headers.end() ? "" : adapter->second;
     if (response.status == 0) {
-        // A connection that could not be made ran nothing; one that died may have.
+        // Without a connection nothing ran. If an established connection failed, the request may have run.
         attempt.outcome = response.isUnsent ? Outcome::NotRun : Outcome::NoResponse;
         attempt.code = response.isUnsent ? "not_connected" : "";
         return attempt;
@@ -208,7 +208,7 @@
     }
     refusal = attemptFrom(response, false);
     if (refusal.outcome != Outcome::NotRun) {
-        // A look-up runs nothing, whatever became of it.
+        // A lookup never runs a request, whatever its result.
         refusal.outcome = Outcome::NotRun;
         refusal.code = "no_address";
     }
@@ -229,7 +229,7 @@
     return {};
 }
 
-// A chat may be sent again whatever happened to it, since running it twice does no harm.
+// Retries a chat after any failure, because chats are idempotent.
 void Callers::Private::chatWithRetries(RequestRecord &record, const Options &options) const
 {
     const auto offset = static_cast<std::size_t>(counter.load());
@@ -250,7 +250,7 @@
     }
 }
 
-// A payment is sent again only under its key, and to whichever node: the system finds the one that may run it.
+// Retries a payment only under its idempotency key. Any node may receive the retry, since nodes forward it to the one that may run it.
 void Callers::Private::payWithRetries(RequestRecord &record, const Options &options) const
 {
     const auto offset = static_cast<std::size_t>(counter.load());
@@ -287,7 +287,7 @@
                 Options requestOptions = options;
                 if (!isPayment) {
                     requestOptions["model"] = models[static_cast<std::size_t>(i) % models.size()];
-                    // With exact models the right adapter is known; with labels allowed= names it.
+                    // An exact model names the expected adapter; with labels, allowed= names it.
                     if (!options.contains("allowed") && requestOptions["model"].find('@') != std::string::npos) {
                         requestOptions["allowed"] = requestOptions["model"];
                     }
@@ -350,7 +350,7 @@
     const HttpResponse response = callHttp("http://" + d->cluster.callerAddress(node) + "/v1/keys", "{}", {}, LookupTimeoutMs);
     const Json json = Json::parse(response.body, nullptr, false);
     if (response.status != 200 || !json.is_object()) {
-        throw std::runtime_error("no key from " + node);
+        throw std::runtime_error("no idempotency key from " + node);
     }
     d->keys[name] = json.value("idempotency_key", "");
 }
@@ -364,7 +364,7 @@
 {
     std::unique_lock lock(d->mutex);
     if (!d->active.contains(group)) {
-        throw std::runtime_error("no callers named '" + group + "'");
+        throw std::runtime_error("no group of callers named '" + group + "'");
     }
     d->changed.wait(lock, [&] { return d->active[group] == 0; });
 }
--- a/tests/scenarios/runner/callers.h
+++ b/tests/scenarios/runner/callers.h
@@ -12,48 +12,48 @@
 {
 
 enum class Outcome {
-    /** A whole answer. */
+    /** The response is complete. */
     Ok,
-    /** Refused with an answer that says that nothing ran. */
+    /** Rejected with an error that says that nothing ran. */
     NotRun,
-    /** Failed with an answer that says that it may have run. */
+    /** Failed with an error that says that the request may have run. */
     MayHaveRun,
-    /** An answer broke off, and the caller could see that it did. */
+    /** The response ended early, and the caller could detect it. */
     Interrupted,
-    /** No answer at all: the connection failed. */
+    /** The connection failed before any response. */
     NoResponse,
 };
 
-/** What a caller saw of one answer. */
+/** The result of one attempt as the caller saw it. */
 struct Attempt
 {
     Outcome outcome = Outcome::NoResponse;
     int status = 0;
-    /** The error word, when there is one. */
+    /** The error code, if there is one. */
     std::string code;
     int retryAfterMs = 0;
-    /** id@version from the answer's headers. */
+    /** id@version from the response headers. */
     std::string adapter;
     std::string body;
-    /** The connection ended well although the answer is not whole: the caller would take half for all. */
+    /** The connection closed cleanly although the response is incomplete, so the caller could not detect the truncation. */
     bool isSilentlyTruncated = false;
-    /** Where the chat was sent; empty when no address could be had. */
+    /** Where the chat was sent; empty if the address lookup failed. */
     std::string address;
-    /** From the start of the request to the end of this try. */
+    /** Seconds from the start of the request to the end of this attempt. */
     double endedAfter = 0;
 };
 
-/** One request of a caller with all its tries. */
+/** One request of a caller with all its attempts. */
 struct RequestRecord
 {
     std::string group;
-    /** Unique text that the engine echoes and the service counts by. */
+    /** Unique text that the engine echoes and that identifies the request in the counters of the stand-ins. */
     std::string tag;
     bool isPayment = false;
-    /** Adapters that would be right, id@version; empty accepts any. */
+    /** Adapters that may serve the request, as id@version; empty accepts any. */
     std::vector<std::string> allowed;
     std::vector<Attempt> attempts;
-    /** Time from the start to the end of the last answer. */
+    /** Time from the start of the request to the end of its last attempt. */
     double seconds = 0;
 
     const Attempt &lastAttempt() const
@@ -62,22 +62,22 @@
     }
 };
 
-/** Callers that behave as the examples do: they ask for an address, send, and follow the advice of a refusal. */
+/** Callers that behave like the examples: they look up an address, send the request and retry after the delay that a rejection names. */
 class Callers
 {
 public:
     explicit Callers(const TestCluster &cluster);
     ~Callers();
 
-    /** One chat in the background; with node= it goes there without retries. */
+    /** Sends one chat in the background; with node= to that node and without retries. */
     void chat(const std::string &group, const Options &options);
-    /** One payment in the background; with key= under that key, with node= there without retries. */
+    /** Sends one payment in the background; with node= to that node without retries, under the idempotency key named by key= if given. */
     void pay(const std::string &group, const Options &options);
-    /** Fetches a key from a node and keeps it under @p name. */
+    /** Requests an idempotency key from a node and stores it under @p name. */
     void fetchKey(const std::string &name, const std::string &node);
-    /** Requests at a rate for a while, each in its turn of a pool; chats, or payments with service=. */
+    /** Sends requests at a fixed rate for a while from a thread pool: payments with service=, chats otherwise. */
     void load(const std::string &group, const Options &options);
-    /** Waits until the group's requests have ended. */
+    /** Waits until all requests of the group have ended. */
     void join(const std::string &group);
     void joinAll();
 
--- a/tests/scenarios/runner/invariants.cpp
+++ b/tests/scenarios/runner/invariants.cpp
@@ -29,13 +29,13 @@
 void checkAttempt(const RequestRecord &record, const Attempt &attempt, std::vector<std::string> &violations)
 {
     if (attempt.isSilentlyTruncated) {
-        violations.push_back(record.tag + ": an answer was cut and looked whole");
+        violations.push_back(record.tag + ": a truncated response looked complete to the caller");
     }
     if (attempt.outcome != Outcome::Ok || record.isPayment || attempt.isSilentlyTruncated) {
         return;
     }
     if (!attempt.body.starts_with(attempt.adapter + ":" + record.tag)) {
-        violations.push_back(record.tag + ": got another request's answer or ran on another adapter: '" + attempt.body.substr(0, 60) + "'");
+        violations.push_back(record.tag + ": received the response of another request or adapter: '" + attempt.body.substr(0, 60) + "'");
     }
     if (!record.allowed.empty() && std::find(record.allowed.begin(), record.allowed.end(), attempt.adapter) == record.allowed.end()) {
         violations.push_back(record.tag + ": ran on " + attempt.adapter);
@@ -51,14 +51,14 @@
     const bool isReportedNotRun = std::all_of(
         record.attempts.begin(), record.attempts.end(), [](const Attempt &attempt) { return attempt.outcome == Outcome::NotRun; });
     if (isReportedNotRun && runCount > 0) {
-        violations.push_back(
-            record.tag + ": told 'not run' (" + record.lastAttempt().code + ") and ran " + std::to_string(runCount) + " times");
+        violations.push_back(record.tag + ": the caller was told 'not run' (" + record.lastAttempt().code + "), but it ran "
+            + std::to_string(runCount) + " times");
     }
     if (record.isPayment && runCount > 1) {
         violations.push_back(record.tag + ": a one-time request ran " + std::to_string(runCount) + " times");
     }
     if (record.isPayment && record.lastAttempt().outcome == Outcome::Ok && runCount != 1) {
-        violations.push_back(record.tag + ": answered as done and ran " + std::to_string(runCount) + " times");
+        violations.push_back(record.tag + ": reported as done, but ran " + std::to_string(runCount) + " times");
     }
 }
 
--- a/tests/scenarios/runner/invariants.h
+++ b/tests/scenarios/runner/invariants.h
@@ -9,19 +9,19 @@
 namespace Scenario
 {
 
-/** What the stand-ins counted. */
+/** Counters read from the stand-in engines and services. */
 struct StandinCounts
 {
-    /** How often an engine began to generate for a mark. */
+    /** Number of times that engines started to generate, by request tag. */
     std::map<std::string, int> generated;
-    /** How often a service ran a body. */
+    /** Number of times that services ran a request, by request body. */
     std::map<std::string, int> runs;
     int evictedInUse = 0;
 };
 
 StandinCounts readCounts(const TestCluster &cluster);
 
-/** Each broken promise as a sentence; empty when all were kept. Judged by what callers received and the stand-ins counted. */
+/** Returns one message for each violated invariant, from what callers received and what the stand-ins counted. */
 std::vector<std::string> findViolations(const std::vector<RequestRecord> &records, const StandinCounts &counts);
 
 } // namespace Scenario
--- a/tests/scenarios/runner/main.cpp
+++ b/tests/scenarios/runner/main.cpp
@@ -14,7 +14,7 @@
 #include <stdexcept>
 #include <thread>
 
-// Runs one scenario: real processes behind proxies, driven line by line. docs/SCENARIOS.md describes the language.
+// Runs one scenario: starts real processes behind proxies and executes the file line by line. docs/SCENARIOS.md describes the language.
 
 using namespace Scenario;
 
@@ -67,7 +67,7 @@
         (this->*at->second)(line);
     }
 
-    // Judges what has always to hold; throws when something was broken.
+    // Waits for all callers and checks the invariants that hold in every scenario. Throws if any is violated.
     void finish()
     {
         m_callers->joinAll();
@@ -76,7 +76,7 @@
         if (violations.empty()) {
             return;
         }
-        std::string all = "broken promises: " + std::to_string(violations.size());
+        std::string all = "violated invariants: " + std::to_string(violations.size());
         for (std::size_t i = 0; i < std::min<std::size_t>(violations.size(), 10); ++i) {
             all += "\n  " + violations[i];
         }
@@ -169,7 +169,7 @@
             throw std::runtime_error("unknown fault '" + flag + "'");
         }
     }
-    // partition n1 n2 | n3: neither side reaches the other.
+    // partition n1 n2 | n3: blocks traffic between the two sides in both directions.
     void partition(const Line &line)
     {
         std::vector<std::string> sides[2];
@@ -206,7 +206,7 @@
         process.signal(SIGKILL);
         process.waitForExit(DefaultTimeoutSeconds);
     }
-    // term n1: asks for a graceful end and waits for it; the exit code must be 0. term n1 nowait: only asks.
+    // term n1: sends SIGTERM and waits for the node to exit with code 0. term n1 nowait: only sends SIGTERM.
     void term(const Line &line)
     {
         Process &process = m_cluster.node(line.word(0));
@@ -215,14 +215,14 @@
             return;
         }
         if (!process.waitForExit(DefaultTimeoutSeconds) || process.exitCode() != 0) {
-            throw std::runtime_error(line.word(0) + " did not end gracefully, exit code " + std::to_string(process.exitCode()));
+            throw std::runtime_error(line.word(0) + " did not shut down gracefully, exit code " + std::to_string(process.exitCode()));
         }
     }
     void vm(const Line &line)
     {
         m_cluster.setVm(line.word(0), line.word(1));
     }
-    // control UPSTREAM PATH: calls a control path of a stand-in, e.g. control e1 /control/restart.
+    // control UPSTREAM PATH: calls a control path of a stand-in, such as /control/restart.
     void control(const Line &line)
     {
         std::string path = line.word(1);
@@ -230,7 +230,7 @@
             path += (path.find('?') == std::string::npos ? "?" : "&") + name + "=" + value;
         }
         if (callHttp("http://" + m_cluster.directAddress(line.word(0)) + path, "", {}, StatusTimeoutMs).status != 200) {
-            throw std::runtime_error("control call failed");
+            throw std::runtime_error("the control call did not return status 200");
         }
     }
     void chat(const Line &line)
@@ -264,14 +264,14 @@
         return options;
     }
 
-    // await WHAT ... within=SECONDS: waits on an event with a generous bound.
+    // await CONDITION ... within=SECONDS: polls until the condition is met; fails after the timeout.
     void await(const Line &line)
     {
         const double timeout = parseSeconds(optionOr(line.options, "within", std::to_string(DefaultTimeoutSeconds)));
         const auto deadline = std::chrono::steady_clock::now() + std::chrono::duration<double>(timeout);
         while (!isConditionMet(line)) {
             if (std::chrono::steady_clock::now() > deadline) {
-                throw std::runtime_error("did not come about within " + std::to_string(timeout) + " s; last seen: " + m_lastSeen);
+                throw std::runtime_error("condition not met within " + std::to_string(timeout) + " s; last seen: " + m_lastSeen);
             }
             sleepSeconds(PollMs / 1000.0);
         }
@@ -298,7 +298,7 @@
     {
         const std::string address = m_cluster.operatorAddress(name);
         if (condition == "ready") {
-            m_lastSeen = name + " not ready";
+            m_lastSeen = name + " is not ready";
             return callHttp("http://" + address + "/readyz", "", {}, StatusTimeoutMs).status == 200;
         }
         const HttpResponse response = callHttp("http://" + address + "/status", "", {}, StatusTimeoutMs);
@@ -313,7 +313,7 @@
         if (condition == "config") {
             return status.value("config_version", std::uint64_t { 0 }) >= m_cluster.publishedVersion();
         }
-        throw std::runtime_error("cannot await '" + condition + "'");
+        throw std::runtime_error("unknown condition '" + condition + "'");
     }
     int totalRuns()
     {
@@ -331,7 +331,7 @@
             || std::any_of(counts.runs.begin(), counts.runs.end(), isOfGroup);
     }
 
-    // expect GROUP outcome=ok [adapter=] [code=]: all requests of the group ended so. outcome=a,b allows several.
+    // expect GROUP outcome=ok [adapter=] [code=]: every request of the group ended this way. outcome=a,b allows several outcomes.
     void expect(const Line &line)
     {
         m_callers->join(line.word(0));
@@ -341,7 +341,7 @@
             }
         }
     }
-    // What a caller met on the way to its last answer.
+    // Lists the attempts of a request for error messages.
     static std::string describeAttempts(const RequestRecord &record)
     {
         std::ostringstream text;
@@ -365,7 +365,7 @@
             throw std::runtime_error(record.tag + ": got " + actual + describeAttempts(record));
         }
     }
-    // expect-runs GROUP min= max=: how often each one-time request of the group ran.
+    // expect-runs GROUP min= max=: bounds how often each one-time request of the group ran; by default min=0 and max=1.
     void expectRuns(const Line &line)
     {
         m_callers->join(line.word(0));
@@ -379,7 +379,7 @@
             }
         }
     }
-    // expect-share GROUP ok=PERCENT: at least so many of the group's requests ended with a whole answer.
+    // expect-share GROUP ok=PERCENT: at least this share of the group's requests ended with a complete response.
     void expectShare(const Line &line)
     {
         m_callers->join(line.word(0));
@@ -392,10 +392,10 @@
             }
         }
         if (all == 0 || ok * 100 < std::stoi(line.options.at("ok")) * all) {
-            throw std::runtime_error(std::to_string(ok) + " of " + std::to_string(all) + " were served");
+            throw std::runtime_error(std::to_string(ok) + " of " + std::to_string(all) + " requests were served");
         }
     }
-    // expect-quiet UPSTREAM for=SECONDS: the upstream begins no new work in that time.
+    // expect-quiet UPSTREAM for=SECONDS: the upstream starts no new request during this time.
     void expectQuiet(const Line &line)
     {
         const auto countStarted = [&] {
@@ -411,16 +411,16 @@
         sleepSeconds(parseSeconds(line.options.at("for")));
         const int after = countStarted();
         if (after != before) {
-            throw std::runtime_error(line.word(0) + " got " + std::to_string(after - before) + " new requests");
+            throw std::runtime_error(line.word(0) + " received " + std::to_string(after - before) + " new requests");
         }
     }
-    // expect-load-rate max=: the weight store began at most so many loads a second since it started.
+    // expect-load-rate max=: on average, the weight store began at most this many loads per second since its start.
     void expectLoadRate(const Line &line)
     {
         const double rate = m_cluster.loadsPerSecond();
-        std::cout << "  loads a second: " << rate << "\n";
+        std::cout << "  loads per second: " << rate << "\n";
         if (rate > std::stod(line.options.at("max"))) {
-            throw std::runtime_error(std::to_string(rate) + " loads a second");
+            throw std::runtime_error(std::to_string(rate) + " loads per second");
         }
     }
     void sleep(const Line &line)
--- a/tests/scenarios/runner/plainhttp.h
+++ b/tests/scenarios/runner/plainhttp.h
@@ -9,18 +9,18 @@
 
 struct HttpResponse
 {
-    /** 0 when no answer came. */
+    /** 0 if no response was received. */
     int status = 0;
-    /** The connection broke before the answer was whole. */
+    /** The connection failed before the response was complete. */
     bool isIncomplete = false;
-    /** Nothing of the request can have left. */
+    /** The connection was never established, so no part of the request was sent. */
     bool isUnsent = false;
-    /** Names in lower case. */
+    /** Keyed by header name in lower case. */
     std::map<std::string, std::string> headers;
     std::string body;
 };
 
-/** One blocking HTTP call on a connection of its own; POST when there is a body. */
+/** Makes one blocking HTTP call on a new connection. Sends POST if @p body is not empty, otherwise GET. */
 HttpResponse callHttp(const std::string &url, const std::string &body, const std::vector<std::string> &headers, int timeoutMs);
 
 } // namespace Scenario
--- a/tests/scenarios/runner/process.cpp
+++ b/tests/scenarios/runner/process.cpp
@@ -35,7 +35,7 @@
     return line;
 }
 
-// The inode of the socket with this local port, from the kernel's table of TCP sockets.
+// Returns the inode of the TCP socket with this local port, read from /proc/net/tcp.
 std::string findSocketInode(std::uint16_t port)
 {
     char pattern[8];
@@ -64,7 +64,7 @@
 {
     int pipes[2];
     if (pipe2(pipes, O_CLOEXEC) != 0) {
-        throw std::runtime_error("no pipe");
+        throw std::runtime_error("cannot create a pipe");
     }
     const int log = open(logFile.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
     std::vector<char *> argv;
@@ -74,7 +74,7 @@
     argv.push_back(nullptr);
     m_pid = fork();
     if (m_pid == 0) {
-        prctl(PR_SET_PDEATHSIG, SIGKILL); // Nothing is left behind when the runner dies.
+        prctl(PR_SET_PDEATHSIG, SIGKILL); // Kills the child if the runner dies.
         dup2(pipes[1], STDOUT_FILENO);
         dup2(log, STDERR_FILENO);
         execv(argv[0], argv.data());
--- a/tests/scenarios/runner/process.h
+++ b/tests/scenarios/runner/process.h
@@ -8,11 +8,11 @@
 namespace Scenario
 {
 
-/** A child process whose first line of output says that it is ready; killed at the end of the scenario. */
+/** A child process that prints a ready line first. It is killed when the object is destroyed. */
 class Process
 {
 public:
-    /** Starts @p arguments with its log in @p logFile and waits for the line. Throws std::runtime_error when it does not come. */
+    /** Starts @p arguments with stderr appended to @p logFile. Throws std::runtime_error if the ready line does not arrive in time. */
     Process(std::string name, const std::vector<std::string> &arguments, const std::string &logFile);
     ~Process();
     Process(const Process &) = delete;
@@ -26,13 +26,13 @@
     {
         return m_pid;
     }
-    /** The number behind "@p key=" in the ready line. */
+    /** Returns the number after "@p key=" in the ready line; 0 if it is missing. */
     std::uint16_t readyNumber(const std::string &key) const;
     void signal(int number);
     bool isRunning();
-    /** Waits for the end; false when it does not come within @p seconds. The exit code is then in exitCode(). */
+    /** Waits up to @p seconds for the process to exit and returns whether it did. exitCode() is valid afterwards. */
     bool waitForExit(double seconds);
-    /** -1 while it runs or when a signal ended it. */
+    /** Returns -1 while the process runs or if a signal ended it. */
     int exitCode() const
     {
         return m_exitCode;
@@ -48,7 +48,7 @@
     bool m_hasExited = false;
 };
 
-/** The process of this machine that holds the TCP socket with local port @p port, among @p pids; -1 when none does. */
+/** Returns the process among @p pids that has a TCP socket with local port @p port open; -1 if there is none. */
 pid_t findProcessByPort(std::uint16_t port, const std::vector<pid_t> &pids);
 
 } // namespace Scenario
--- a/tests/scenarios/runner/script.cpp
+++ b/tests/scenarios/runner/script.cpp
@@ -12,7 +12,7 @@
 const std::string &Line::word(std::size_t index) const
 {
     if (index >= words.size()) {
-        throw std::runtime_error("'" + command + "' needs " + std::to_string(index + 1) + " words");
+        throw std::runtime_error("'" + command + "' needs at least " + std::to_string(index + 1) + " words");
     }
     return words[index];
 }
@@ -21,7 +21,7 @@
 {
     std::ifstream input(file);
     if (!input) {
-        throw std::runtime_error(file + ": cannot be read");
+        throw std::runtime_error(file + ": cannot open the scenario file");
     }
     std::vector<Line> lines;
     int number = 0;
--- a/tests/scenarios/runner/script.h
+++ b/tests/scenarios/runner/script.h
@@ -8,7 +8,7 @@
 namespace Scenario
 {
 
-/** One line of a scenario: a command, plain words, and key=value options. */
+/** One line of a scenario: a command, its positional words and its key=value options. */
 struct Line
 {
     int number = 0;
@@ -16,11 +16,11 @@
     std::vector<std::string> words;
     Options options;
 
-    /** The word at @p index; throws with the line's number when it is missing. */
+    /** Returns the positional word at @p index. Throws std::runtime_error if the line has too few words. */
     const std::string &word(std::size_t index) const;
 };
 
-/** Reads a scenario file. '#' begins a comment. Throws std::runtime_error naming file and line. */
+/** Reads a scenario file and its includes. Lines that begin with '#' are comments. Throws std::runtime_error if a file cannot be read. */
 std::vector<Line> readScript(const std::string &file);
 
 } // namespace Scenario
--- a/tests/scenarios/runner/testcluster.cpp
+++ b/tests/scenarios/runner/testcluster.cpp
@@ -19,7 +19,7 @@
 namespace
 {
 
-// Nodes listen on NodeNet.<n>, and others reach them at ProxyNet.<n>, so that the proxies can have the same ports.
+// Nodes listen on NodeNet<n> and their proxies on ProxyNet<n>, so that both can use the same port numbers.
 const std::string NodeNet = "127.0.1.";
 const std::string ProxyNet = "127.0.2.";
 constexpr std::uint64_t ProxySeed = 7;
@@ -54,7 +54,7 @@
     }
 };
 
-// A port that is free now for both kinds of socket on this node's own IP number, which nothing else uses.
+// Returns a port that is currently free for sockets of this type. No other process uses the node's IP address.
 std::uint16_t freePort(const std::string &ip, int type)
 {
     const int probe = socket(AF_INET, type | SOCK_CLOEXEC, 0);
@@ -70,7 +70,7 @@
 
 void writeFile(const std::string &path, const std::string &text)
 {
-    // Renamed into place, so that a reader never sees half of it.
+    // Renames the file into place so that a reader never sees a partial file.
     {
         std::ofstream file(path + ".new");
         file << text;
@@ -257,7 +257,7 @@
 
 TestCluster::~TestCluster()
 {
-    // Processes first: the proxies end when nobody speaks through them any more.
+    // Stops the processes first, because the proxies end only when their connections are closed.
     for (auto &[name, node] : d->nodes) {
         node.process.reset();
     }
@@ -316,7 +316,7 @@
     std::string line = d->build + "/main/apricotstep pack --in " + input + " --out " + values;
     line += d->publishCount++ > 0 ? " --previous " + values : "";
     if (std::system((line + " >>" + d->log("pack") + " 2>&1").c_str()) != 0) {
-        throw std::runtime_error("pack failed; see " + d->log("pack"));
+        throw std::runtime_error("packing the catalog failed; see " + d->log("pack"));
     }
     std::ifstream head(values + "/head");
     d->version = nlohmann::json::parse(head).at("version").get<std::uint64_t>();
@@ -390,7 +390,7 @@
     }
     const auto upstream = d->upstreams.find(target);
     if (upstream == d->upstreams.end()) {
-        throw std::runtime_error("nothing to fault named '" + target + "'");
+        throw std::runtime_error("no fault target named '" + target + "'");
     }
     return upstream->second.proxy->faults();
 }
