--- a/tests/soak/http1.py
+++ b/tests/soak/http1.py
@@ -17,7 +17,7 @@
         return self.headers.get(name, default)
 
 
-class Answer:
+class Response:
     """What a client got: status 0 where no head came; complete only where all bytes came that the head promised."""
 
     def __init__(self):
@@ -45,7 +45,7 @@
     return lines[0], headers
 
 
-async def read_body(reader, headers, is_answer=False):
+async def read_body(reader, headers, is_response=False):
     """The body by its length or in chunks; raises IncompleteReadError where it ends early."""
     if "chunked" in headers.get("transfer-encoding", ""):
         parts = []
@@ -57,7 +57,7 @@
             parts.append(chunk[:-2])
     if "content-length" in headers:
         return await reader.readexactly(int(headers["content-length"]))
-    return await reader.read() if is_answer else b""
+    return await reader.read() if is_response else b""
 
 
 async def serve(host, port, handle):
@@ -90,7 +90,7 @@
 
 async def call(address, method, target, headers, body=b"", timeout=10.0, connect_timeout=1.0):
     """One request on a connection of its own."""
-    answer = Answer()
+    response = Response()
     host, port = address.rsplit(":", 1)
     writer = None
     try:
@@ -99,22 +99,22 @@
         lines += [f"{name}: {value}" for name, value in headers.items()]
         writer.write("\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + body)
         await writer.drain()
-        answer.is_sent = True
-        await asyncio.wait_for(receive(reader, answer), timeout)
+        response.is_sent = True
+        await asyncio.wait_for(receive(reader, response), timeout)
     except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError, ValueError) as error:
-        answer.error = type(error).__name__
+        response.error = type(error).__name__
     finally:
         if writer is not None:
             writer.close()
-    return answer
+    return response
 
 
-async def receive(reader, answer):
+async def receive(reader, response):
     head = await read_head(reader)
     if head is None:
-        answer.error = "closed"
+        response.error = "closed"
         return
-    answer.status = int(head[0].split(" ")[1])
-    answer.headers = head[1]
-    answer.body = await read_body(reader, head[1], is_answer=True)
-    answer.is_complete = "content-length" in head[1] or "chunked" in head[1].get("transfer-encoding", "")
+    response.status = int(head[0].split(" ")[1])
+    response.headers = head[1]
+    response.body = await read_body(reader, head[1], is_response=True)
+    response.is_complete = "content-length" in head[1] or "chunked" in head[1].get("transfer-encoding", "")
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-PASS, DELAY, SILENT, CUT_UP, CUT_DOWN = "pass", "delay", "silent", "cut_up", "cut_down"
-MODES = (DELAY, SILENT, CUT_UP, CUT_DOWN)
+PASS, DELAY, HANG, CUT_UP, CUT_DOWN = "pass", "delay", "silent", "cut_up", "cut_down"
+MODES = (DELAY, HANG, CUT_UP, CUT_DOWN)
 
 
 class Proxy:
@@ -49,7 +49,7 @@
             except OSError:
                 data = b""
             # Held back and not dropped: TCP would send them again until the link heals.
-            while self.mode in (SILENT, cut):
+            while self.mode in (HANG, cut):
                 await asyncio.sleep(0.02)
             if self.mode == DELAY:
                 await asyncio.sleep(self.delay_s)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -28,25 +28,25 @@
 ZONES = ("a", "b")
 HOST = "h.example"
 # What the nodes are told, and what the checks allow on top for a busy machine.
-GRACE_S = 6
+SHUTDOWN_GRACE_S = 6
 CONFIG_BOUND_S = 2.0
 # A change counts as due at nodes that the store and the links have left alone for so long.
-CONTACT_S = 3.0
+RECONNECT_S = 3.0
 CONFIG_SLACK_S = 1.0
 FAULTS = ("stop_gracefully,kill,kill_many,pause,harm_store_link,harm_caller_link,harm_upstream,upstream_leaves,upstream_crashes,"
           "store_away,store_silent,change_config,hup")
 # Nodes that wait for the store ask again within this.
-CALL_CYCLE_S = 5.0
+POLL_RETRY_S = 5.0
 DRAIN_BOUND_S = 2.0
-SLACK_S = 2.0
+DRAIN_SLACK_S = 2.0
 RECOVERY_S = 12.0
 ADAPTERS = 24
 STREAM_TIMEOUT_MS = 4000
 PLAIN_TIMEOUT_MS = 1500
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
-def take_network():
+def reserve_network():
     """A number n whose addresses 127.0.n.x no other soak uses, and the socket that keeps it while this process lives."""
     for number in random.SystemRandom().sample(range(10, 210), 200):
         lock = socket.socket()
@@ -61,31 +61,31 @@
 class Node:
     """One entry node: its process, its settings file, its own link to the store and from the callers."""
 
-    def __init__(self, world, index):
-        self.world = world
+    def __init__(self, cluster, index):
+        self.cluster = cluster
         self.name = f"n{index:02d}"
         self.zone = ZONES[index % len(ZONES)]
-        self.ip = f"127.0.{world.network}.{index + 1}"
+        self.ip = f"127.0.{cluster.network}.{index + 1}"
         self.process = None
         self.store_link = None
         self.caller_link = None
         self.is_paused = False
-        self.is_wanted = True
+        self.should_run = True
         self.started_at = 0.0
         # Since when nothing has been done to it or to its links.
-        self.calm_since = 0.0
+        self.undisturbed_since = 0.0
 
     def address(self, port):
         return f"{self.ip}:{port}"
 
     async def prepare(self):
-        self.store_link = proxy.Proxy(self.world.store_address)
+        self.store_link = proxy.Proxy(self.cluster.store_address)
         await self.store_link.start("127.0.0.1")
         self.caller_link = proxy.Proxy(self.address(8149))
         await self.caller_link.start("127.0.0.1")
 
     def settings(self):
-        seeds = ", ".join(f'"127.0.{self.world.network}.{i + 1}:8144"' for i in range(3))
+        seeds = ", ".join(f'"127.0.{self.cluster.network}.{i + 1}:8144"' for i in range(3))
         return f"""node = "{self.name}"
 zone = "{self.zone}"
 region = "r"
@@ -103,7 +103,7 @@
 maxFds = 1000
 cpuShare = 0.2
 [bounds]
-graceS = {GRACE_S}
+graceS = {SHUTDOWN_GRACE_S}
 configBoundMs = 2000
 drainMs = {int(DRAIN_BOUND_S * 1000)}
 leaseMs = {int(standins.LEASE_S * 1000)}
@@ -117,18 +117,18 @@
 """
 
     def start(self):
-        path = os.path.join(self.world.folder, self.name + ".toml")
+        path = os.path.join(self.cluster.folder, self.name + ".toml")
         with open(path, "w", encoding="utf-8") as file:
             file.write(self.settings())
-        log = open(os.path.join(self.world.folder, self.name + ".log"), "ab")
-        self.process = subprocess.Popen([self.world.binary, "entry"], stdout=log, stderr=log, env={"APRICOTSTEP_BOOT": path})
+        log = open(os.path.join(self.cluster.folder, self.name + ".log"), "ab")
+        self.process = subprocess.Popen([self.cluster.binary, "entry"], stdout=log, stderr=log, env={"APRICOTSTEP_BOOT": path})
         log.close()
         self.started_at = time.monotonic()
-        self.is_wanted = True
-        self.disturb()
+        self.should_run = True
+        self.mark_disturbed()
 
-    def disturb(self):
-        self.calm_since = time.monotonic()
+    def mark_disturbed(self):
+        self.undisturbed_since = time.monotonic()
 
     def signal(self, number):
         if self.process is not None and self.process.poll() is None:
@@ -137,12 +137,12 @@
     def is_running(self):
         return self.process is not None and self.process.poll() is None
 
-    def is_calm(self, for_s):
+    def is_undisturbed(self, duration_s):
         links = self.store_link.mode == proxy.PASS and self.caller_link.mode == proxy.PASS
-        return self.is_running() and self.is_wanted and not self.is_paused and links and time.monotonic() - self.calm_since >= for_s
+        return self.is_running() and self.should_run and not self.is_paused and links and time.monotonic() - self.undisturbed_since >= duration_s
 
 
-class World:
+class TestCluster:
     """Everything of one soak, with what was seen."""
 
     def __init__(self, arguments):
@@ -151,7 +151,7 @@
         self.folder = tempfile.mkdtemp(prefix=f"soak-{arguments.seed}-")
         self.binary = os.path.join(arguments.build, "main", "apricotstep")
         # Soaks that run at the same time use loopback addresses of their own.
-        self.network, self.network_lock = take_network()
+        self.network, self.network_lock = reserve_network()
         self.store = standins.Store()
         self.store_address = ""
         self.nodes = []
@@ -159,19 +159,19 @@
         self.links = {}
         self.zones = {}
         # While the store's return is played and judged, no other fault of the store begins.
-        self.is_store_watched = False
+        self.is_store_check_running = False
         self.version = 1
         self.has_extra_route = False
-        self.config_at = 0.0
+        self.config_published_at = 0.0
         self.failures = []
         self.runs = {}
-        self.kinds = {}
-        self.told_not_run = set()
-        self.orders = {}
-        self.calm_store_since = 0.0
+        self.request_kinds = {}
+        self.reported_not_run = set()
+        self.last_orders = {}
+        self.store_undisturbed_since = 0.0
         self.counts = {"served": 0, "refused": 0, "failed": 0}
         self.late_counts = {"served": 0, "other": 0}
-        self.is_over = False
+        self.is_finished = False
         self.faults_end = time.monotonic() + arguments.seconds
         self.next_request = 0
 
@@ -182,46 +182,46 @@
         self.failures.append(line)
         print(line, flush=True)
 
-    def body_of(self, request_id):
+    def expected_body(self, request_id):
         return (f"answer to {request_id} " * 20).encode()
 
-    def event_of(self, request_id, number):
+    def expected_event(self, request_id, number):
         return f"id: {number}\ndata: {request_id} part {number}\n\n".encode()
 
-    def version_of(self, _adapter):
+    def adapter_version(self, _adapter):
         return 1
 
-    def note_run(self, request_id, upstream):
+    def record_run(self, request_id, upstream):
         self.runs.setdefault(request_id, []).append(upstream.name)
-        kind = self.kinds.get(request_id)
+        kind = self.request_kinds.get(request_id)
         if kind is None:
             self.fail("UNASKED", f"{upstream.name} runs {request_id!r}, which no caller sent")
         elif kind == "pay" and len(self.runs[request_id]) > 1:
             self.fail("TWICE", f"{request_id} ran at {self.runs[request_id]}")
-        if request_id in self.told_not_run:
+        if request_id in self.reported_not_run:
             self.fail("REFUSED", f"{request_id} runs at {upstream.name} after its caller was told that it would not")
-        if upstream.is_leaving and self.is_everything_calm(DRAIN_BOUND_S + SLACK_S):
-            if time.monotonic() - upstream.left_at > DRAIN_BOUND_S + SLACK_S:
+        if upstream.is_draining and self.is_cluster_undisturbed(DRAIN_BOUND_S + DRAIN_SLACK_S):
+            if time.monotonic() - upstream.draining_since > DRAIN_BOUND_S + DRAIN_SLACK_S:
                 self.fail("DRAIN", f"{request_id} reaches {upstream.name} long after it said that it leaves")
 
-    def note_order(self, engine, order):
+    def record_order(self, engine, order):
         now = time.monotonic()
-        last = self.orders.get(engine.name)
+        last = self.last_orders.get(engine.name)
         holder, fence = order["holder"], order["fence"]
-        if last is not None and last[3] == engine.born:
-            if holder != last[0] and now - last[2] < standins.LEASE_S and not self.was_disturbed_by_thaw(holder):
+        if last is not None and last[3] == engine.start_time_ms:
+            if holder != last[0] and now - last[2] < standins.LEASE_S and not self.was_recently_disturbed(holder):
                 self.fail("ONE", f"{engine.name}: {holder} orders {now - last[2]:.2f} s after {last[0]}")
             if fence < last[1] or (fence == last[1] and holder != last[0]):
                 self.fail("ONE", f"{engine.name}: token {fence} of {holder} after {last[1]} of {last[0]}")
-        self.orders[engine.name] = (holder, fence, now, engine.born)
+        self.last_orders[engine.name] = (holder, fence, now, engine.start_time_ms)
 
-    def was_disturbed_by_thaw(self, holder):
+    def was_recently_disturbed(self, holder):
         """What a node had sent before it was paused may arrive right after it woke."""
-        return any(node.name == holder and time.monotonic() - node.calm_since < 0.3 for node in self.nodes)
+        return any(node.name == holder and time.monotonic() - node.undisturbed_since < 0.3 for node in self.nodes)
 
-    def is_everything_calm(self, for_s):
-        store_calm = not self.store.is_down and time.monotonic() - self.calm_store_since >= for_s
-        return store_calm and all(node.is_calm(for_s) or not node.is_running() for node in self.nodes)
+    def is_cluster_undisturbed(self, duration_s):
+        is_store_undisturbed = not self.store.is_down and time.monotonic() - self.store_undisturbed_since >= duration_s
+        return is_store_undisturbed and all(node.is_undisturbed(duration_s) or not node.is_running() for node in self.nodes)
 
     # Start and end.
 
@@ -233,7 +233,7 @@
         for index in range(4):
             await self.add_upstream(standins.Engine, f"e{index}", "llm", 16)
         for index in range(3):
-            await self.add_upstream(standins.Plain, f"p{index}", "api", 6)
+            await self.add_upstream(standins.PlainUpstream, f"p{index}", "api", 6)
         for index in range(self.arguments.nodes):
             node = Node(self, index)
             await node.prepare()
@@ -267,7 +267,7 @@
         services = [{"name": "llm", "healthPath": "/health", "maxConns": 500, "engine": engine},
                     {"name": "api", "healthPath": "/health", "maxConns": 200}]
         self.store.put("op/config", {"version": self.version, "routes": routes, "services": services, "limits": {}})
-        self.config_at = time.monotonic()
+        self.config_published_at = time.monotonic()
 
     def stop_all(self):
         for node in self.nodes:
@@ -279,48 +279,48 @@
     # Callers.
 
     async def caller(self):
-        while not self.is_over:
+        while not self.is_finished:
             await asyncio.sleep(self.random.expovariate(6.0))
-            await self.one_request()
+            await self.send_random_request()
 
-    async def one_request(self):
-        await self.ask(self.random.choices(("chat", "pay", "look", "extra"), (5, 3, 3, 1))[0], self.random.choice(self.nodes))
+    async def send_random_request(self):
+        await self.send_request(self.random.choices(("chat", "pay", "look", "extra"), (5, 3, 3, 1))[0], self.random.choice(self.nodes))
 
-    async def ask(self, kind, node):
+    async def send_request(self, kind, node):
         self.next_request += 1
         request_id = f"{self.arguments.seed:x}-{self.next_request:06x}"
-        self.kinds[request_id] = kind
+        self.request_kinds[request_id] = kind
         headers = {"Host": HOST, "Apricotstep-Request-Id": request_id, "Connection": "close"}
         timeout_ms = STREAM_TIMEOUT_MS if kind == "chat" else PLAIN_TIMEOUT_MS
         headers["Apricotstep-Deadline-Ms"] = str(timeout_ms)
         if kind == "chat":
             adapter = min(int(self.random.paretovariate(0.8)), ADAPTERS)
             headers.update({"Apricotstep-Model": f"m/a{adapter}", "Apricotstep-Token-Count": "200,30"})
-        was_extra, was_calm, sent_at = self.has_extra_route, node.is_calm(3.0), time.monotonic()
-        answer = await http1.call(node.caller_link.address, "GET" if kind in ("look", "extra") else "POST", f"/{kind}/x", headers,
+        was_extra, was_undisturbed, sent_at = self.has_extra_route, node.is_undisturbed(3.0), time.monotonic()
+        response = await http1.call(node.caller_link.address, "GET" if kind in ("look", "extra") else "POST", f"/{kind}/x", headers,
                                   b"" if kind in ("look", "extra") else b"{}", timeout_ms / 1000 + 1.5)
-        self.judge(request_id, kind, node, answer, was_extra, was_calm, sent_at)
-
-    def judge(self, request_id, kind, node, answer, was_extra, was_calm, sent_at):
-        expected = b"".join(self.event_of(request_id, n) for n in range(1, standins.EVENTS + 1)) if kind == "chat" else self.body_of(request_id)
-        if 200 <= answer.status < 300 and answer.is_complete and answer.body != expected:
-            self.fail("MIXED", f"{request_id} ({kind}) at {node.name} got another body: {answer.body[:80]!r}")
-        if answer.status in PROMISES:
-            self.told_not_run.add(request_id)
+        self.check_response(request_id, kind, node, response, was_extra, was_undisturbed, sent_at)
+
+    def check_response(self, request_id, kind, node, response, was_extra, was_undisturbed, sent_at):
+        expected = b"".join(self.expected_event(request_id, n) for n in range(1, standins.EVENTS_PER_STREAM + 1)) if kind == "chat" else self.expected_body(request_id)
+        if 200 <= response.status < 300 and response.is_complete and response.body != expected:
+            self.fail("MIXED", f"{request_id} ({kind}) at {node.name} got another body: {response.body[:80]!r}")
+        if response.status in NOT_RUN_STATUSES:
+            self.reported_not_run.add(request_id)
             if self.runs.get(request_id):
-                self.fail("REFUSED", f"{request_id} ({kind}) was told {answer.status} by {node.name}, but ran at {self.runs[request_id]}")
-        is_calm = was_calm and node.is_calm(3.0 + time.monotonic() - sent_at)
-        is_config_old = sent_at - self.config_at > CONFIG_BOUND_S + CONFIG_SLACK_S and was_extra == self.has_extra_route
-        if kind == "extra" and is_calm and is_config_old and not self.is_store_away() and sent_at - self.calm_store_since > CONTACT_S:
-            if (answer.status == 404) == self.has_extra_route and answer.status in (200, 404):
-                self.fail("CONFIG", f"{request_id}: {answer.status} at {node.name}, though the route {'is' if was_extra else 'is not'} there")
-        if kind != "extra" and answer.status == 404:
+                self.fail("REFUSED", f"{request_id} ({kind}) was told {response.status} by {node.name}, but ran at {self.runs[request_id]}")
+        is_undisturbed = was_undisturbed and node.is_undisturbed(3.0 + time.monotonic() - sent_at)
+        is_config_settled = sent_at - self.config_published_at > CONFIG_BOUND_S + CONFIG_SLACK_S and was_extra == self.has_extra_route
+        if kind == "extra" and is_undisturbed and is_config_settled and not self.is_store_unavailable() and sent_at - self.store_undisturbed_since > RECONNECT_S:
+            if (response.status == 404) == self.has_extra_route and response.status in (200, 404):
+                self.fail("CONFIG", f"{request_id}: {response.status} at {node.name}, though the route {'is' if was_extra else 'is not'} there")
+        if kind != "extra" and response.status == 404:
             self.fail("DENIED", f"{request_id} ({kind}) got 404 at {node.name}")
-        is_served = 200 <= answer.status < 300 and answer.is_complete
-        word = "served" if is_served else "refused" if answer.status in PROMISES else "failed"
-        self.counts[word] += 1
+        is_served = 200 <= response.status < 300 and response.is_complete
+        result = "served" if is_served else "refused" if response.status in NOT_RUN_STATUSES else "failed"
+        self.counts[result] += 1
         if sent_at > self.faults_end + RECOVERY_S and kind != "extra":
-            self.late_counts["served" if is_served or answer.status == 500 else "other"] += 1
+            self.late_counts["served" if is_served or response.status == 500 else "other"] += 1
 
     # Faults.
 
@@ -332,11 +332,11 @@
             task = asyncio.create_task(self.repeat(action))
             running.add(task)
             task.add_done_callback(running.discard)
-            task.add_done_callback(self.note_end)
+            task.add_done_callback(self.on_fault_done)
             await asyncio.sleep(self.random.uniform(0.1, 2.0))
         await asyncio.gather(*running)
 
-    def note_end(self, task):
+    def on_fault_done(self, task):
         """A fault that could not be played, say because the binary was being built anew, makes all that follows worth nothing."""
         if not task.cancelled() and task.exception() is not None:
             self.fail("SOAK", f"a fault ended with {task.exception()!r}")
@@ -350,26 +350,26 @@
             await action()
             await asyncio.sleep(self.random.uniform(0.0, 1.5))
 
-    def some_node(self):
-        return self.random.choice([node for node in self.nodes if node.is_wanted and node.is_running()] or self.nodes)
+    def pick_node(self):
+        return self.random.choice([node for node in self.nodes if node.should_run and node.is_running()] or self.nodes)
 
     async def stop_gracefully(self):
-        node = self.some_node()
-        if not node.is_wanted or not node.is_running() or node.is_paused:
+        node = self.pick_node()
+        if not node.should_run or not node.is_running() or node.is_paused:
             return
-        node.is_wanted = False
+        node.should_run = False
         node.signal(signal.SIGTERM)
-        for _ in range(GRACE_S * 20):
+        for _ in range(SHUTDOWN_GRACE_S * 20):
             if not node.is_running():
                 break
             await asyncio.sleep(0.05)
         if node.is_running() and not node.is_paused:
-            self.fail("SHUTDOWN", f"{node.name} still runs {GRACE_S} s after SIGTERM")
+            self.fail("SHUTDOWN", f"{node.name} still runs {SHUTDOWN_GRACE_S} s after SIGTERM")
         node.signal(signal.SIGKILL)
         await self.restart(node)
 
     async def restart(self, node):
-        node.is_wanted = False
+        node.should_run = False
         if node.process is not None:
             await asyncio.get_running_loop().run_in_executor(None, node.process.wait)
         await asyncio.sleep(self.random.uniform(0.1, 1.0))
@@ -377,31 +377,31 @@
         node.start()
 
     async def kill(self):
-        node = self.some_node()
-        if node.is_wanted and node.is_running():
-            node.is_wanted = False
+        node = self.pick_node()
+        if node.should_run and node.is_running():
+            node.should_run = False
             node.signal(signal.SIGKILL)
             await self.restart(node)
 
     async def kill_many(self):
-        victims = [node for node in self.nodes if node.is_wanted and node.is_running() and self.random.random() < 0.6]
+        victims = [node for node in self.nodes if node.should_run and node.is_running() and self.random.random() < 0.6]
         for node in victims:
-            node.is_wanted = False
+            node.should_run = False
             node.signal(signal.SIGKILL)
         await asyncio.gather(*(self.restart(node) for node in victims))
 
     async def pause(self):
-        node = self.some_node()
-        if node.is_paused or not node.is_wanted:
+        node = self.pick_node()
+        if node.is_paused or not node.should_run:
             return
         node.is_paused = True
         node.signal(signal.SIGSTOP)
         await asyncio.sleep(self.random.uniform(0.3, 5.0))
         node.signal(signal.SIGCONT)
         node.is_paused = False
-        node.disturb()
+        node.mark_disturbed()
 
-    async def harm(self, link, nodes):
+    async def disrupt(self, link, nodes):
         if link.mode != proxy.PASS:
             return
         if self.random.random() < 0.3:
@@ -412,33 +412,33 @@
             await asyncio.sleep(self.random.uniform(0.3, 4.0))
             link.mode = proxy.PASS
         for node in nodes:
-            node.disturb()
+            node.mark_disturbed()
 
     async def harm_store_link(self):
-        node = self.some_node()
-        await self.harm(node.store_link, [node])
+        node = self.pick_node()
+        await self.disrupt(node.store_link, [node])
 
     async def harm_caller_link(self):
-        node = self.some_node()
-        await self.harm(node.caller_link, [node])
+        node = self.pick_node()
+        await self.disrupt(node.caller_link, [node])
 
     async def harm_upstream(self):
-        await self.harm(self.links[self.random.choice(list(self.links))], self.nodes)
+        await self.disrupt(self.links[self.random.choice(list(self.links))], self.nodes)
 
     async def upstream_leaves(self):
         upstream = self.random.choice(self.upstreams)
-        if upstream.is_leaving or self.count_usable(upstream.service) < 2:
+        if upstream.is_draining or self.count_usable(upstream.service) < 2:
             return
-        upstream.leave()
-        await asyncio.sleep(DRAIN_BOUND_S + SLACK_S + 1.0)
+        upstream.start_draining()
+        await asyncio.sleep(DRAIN_BOUND_S + DRAIN_SLACK_S + 1.0)
         await self.replace(upstream, upstream.name)
 
     async def upstream_crashes(self):
         upstream = self.random.choice(self.upstreams)
-        if upstream.is_leaving or self.count_usable(upstream.service) < 2:
+        if upstream.is_draining or self.count_usable(upstream.service) < 2:
             return
-        upstream.is_leaving = True
-        upstream.left_at = time.monotonic() + 60.0  # It says nothing of its leaving, so nobody is bound by it.
+        upstream.is_draining = True
+        upstream.draining_since = time.monotonic() + 60.0  # It says nothing of its leaving, so nobody is bound by it.
         upstream._server.close()
         self.links[upstream.name].reset_all()
         if self.random.random() < 0.5:
@@ -454,43 +454,43 @@
         await self.add_upstream(type(upstream), name, upstream.service, upstream.slots)
 
     def count_usable(self, service):
-        return sum(1 for upstream in self.upstreams if upstream.service == service and not upstream.is_leaving)
+        return sum(1 for upstream in self.upstreams if upstream.service == service and not upstream.is_draining)
 
     async def store_away(self):
-        if self.is_store_watched:
+        if self.is_store_check_running:
             return
         self.store.is_down = True
-        self.calm_store_since = time.monotonic()
+        self.store_undisturbed_since = time.monotonic()
         await asyncio.sleep(self.random.uniform(0.3, 5.0))
         self.store.is_down = False
-        self.calm_store_since = time.monotonic()
+        self.store_undisturbed_since = time.monotonic()
 
     async def store_silent(self):
-        if self.is_store_watched:
+        if self.is_store_check_running:
             return
-        self.is_store_watched = True
-        self.store.fall_silent()
-        self.calm_store_since = time.monotonic()
+        self.is_store_check_running = True
+        self.store.stop_responding()
+        self.store_undisturbed_since = time.monotonic()
         await asyncio.sleep(self.random.uniform(0.3, 6.0))
-        await self.moment_after_many_calls()
-        self.store.is_silent = False
-        self.calm_store_since = time.monotonic()
+        await self.wait_for_pending_polls()
+        self.store.is_unresponsive = False
+        self.store_undisturbed_since = time.monotonic()
         await self.change_config()
-        await asyncio.sleep(CONTACT_S + 0.1)
-        await asyncio.gather(*(self.ask("extra", node) for node in self.nodes))
-        self.is_store_watched = False
+        await asyncio.sleep(RECONNECT_S + 0.1)
+        await asyncio.gather(*(self.send_request("extra", node) for node in self.nodes))
+        self.is_store_check_running = False
 
-    async def moment_after_many_calls(self):
+    async def wait_for_pending_polls(self):
         """The worst moment for a return: what the nodes have just asked stays unanswered for as long as they wait for it."""
-        latest = time.monotonic() + CALL_CYCLE_S
-        while time.monotonic() < latest:
-            calls = sum(1 for at in self.store.unanswered_at if time.monotonic() - at < 0.3)
-            if calls * 2 >= len(self.nodes):
+        deadline = time.monotonic() + POLL_RETRY_S
+        while time.monotonic() < deadline:
+            recent_polls = sum(1 for at in self.store.unanswered_polls if time.monotonic() - at < 0.3)
+            if recent_polls * 2 >= len(self.nodes):
                 return
             await asyncio.sleep(0.02)
 
-    def is_store_away(self):
-        return self.store.is_down or self.store.is_silent
+    def is_store_unavailable(self):
+        return self.store.is_down or self.store.is_unresponsive
 
     async def change_config(self):
         self.version += self.random.randint(1, 5)
@@ -498,15 +498,15 @@
         self.publish()
 
     async def hup(self):
-        self.some_node().signal(signal.SIGHUP)
+        self.pick_node().signal(signal.SIGHUP)
 
     # The whole.
 
     def check_processes(self):
         for node in self.nodes:
-            if node.is_wanted and node.process is not None and node.process.poll() is not None:
+            if node.should_run and node.process is not None and node.process.poll() is not None:
                 self.fail("EXIT", f"{node.name} ended by itself with status {node.process.returncode}")
-                node.is_wanted = False
+                node.should_run = False
 
     async def run(self):
         await self.start()
@@ -518,7 +518,7 @@
             self.check_processes()
             await asyncio.sleep(0.1)
         await faults
-        self.is_over = True
+        self.is_finished = True
         await asyncio.gather(*callers)
         total = sum(self.late_counts.values())
         if total == 0 or self.late_counts["served"] < 0.9 * total:
@@ -546,16 +546,16 @@
     parser.add_argument("--callers", type=int, default=8, help="callers, each with one request at a time")
     arguments = parser.parse_args()
     print(f"seed {arguments.seed}, {arguments.seconds:.0f} s of faults, {arguments.nodes} nodes", flush=True)
-    world = World(arguments)
+    cluster = TestCluster(arguments)
     try:
-        asyncio.run(world.run())
+        asyncio.run(cluster.run())
     finally:
-        world.stop_all()
-    print(json.dumps({"seed": arguments.seed, "requests": world.next_request, **world.counts, "failures": len(world.failures)}))
-    if world.failures:
-        print(f"logs: {world.folder}")
+        cluster.stop_all()
+    print(json.dumps({"seed": arguments.seed, "requests": cluster.next_request, **cluster.counts, "failures": len(cluster.failures)}))
+    if cluster.failures:
+        print(f"logs: {cluster.folder}")
         return 1
-    shutil.rmtree(world.folder)
+    shutil.rmtree(cluster.folder)
     return 0
 
 
--- a/tests/soak/standins.py
+++ b/tests/soak/standins.py
@@ -10,9 +10,9 @@
 
 LEASE_S = 3.0
 ADAPTER_SLOTS = 4
-EVENTS = 6
+EVENTS_PER_STREAM = 6
 # Longer than anybody waits for an answer.
-NEVER_S = 30.0
+HANG_S = 30.0
 JSON = {"Content-Type": "application/json"}
 
 
@@ -24,19 +24,19 @@
         self.items = {}
         self.changes = []
         self.is_down = False
-        self.is_silent = False
-        self.unanswered_at = []
-        self._silences = 0
+        self.is_unresponsive = False
+        self.unanswered_polls = []
+        self._hang_count = 0
         self._changed = asyncio.Event()
 
-    def fall_silent(self):
+    def stop_responding(self):
         """What waits here, and what is asked from now on, is never answered."""
-        self.is_silent = True
-        self._silences += 1
+        self.is_unresponsive = True
+        self._hang_count += 1
 
-    async def _never_answer(self):
-        self.unanswered_at.append(time.monotonic())
-        await asyncio.sleep(NEVER_S)
+    async def _hang(self):
+        self.unanswered_polls.append(time.monotonic())
+        await asyncio.sleep(HANG_S)
         return False
 
     def put(self, key, value):
@@ -56,12 +56,12 @@
         self._changed = asyncio.Event()
 
     async def handle(self, request, writer):
-        if self.is_silent:
-            return await self._never_answer()
+        if self.is_unresponsive:
+            return await self._hang()
         if self.is_down:
             http1.respond(writer, 503)
             return True
-        silences = self._silences
+        hang_count = self._hang_count
         query = dict(urllib.parse.parse_qsl(request.query))
         if request.path == "/apricotstep/kv-range":
             body = {"items": [self.items[key] for key in sorted(self.items)], "hasMore": False, "storeRevision": self.revision}
@@ -74,8 +74,8 @@
                 await asyncio.wait_for(self._changed.wait(), max(deadline - time.monotonic(), 0.001))
             except asyncio.TimeoutError:
                 pass
-        if self._silences != silences:
-            return await self._never_answer()
+        if self._hang_count != hang_count:
+            return await self._hang()
         events = [change for change in self.changes if change["revision"] > after]
         http1.respond(writer, 200, json.dumps({"events": events, "storeRevision": self.revision}).encode(), JSON)
         await writer.drain()
@@ -85,16 +85,16 @@
 class Upstream:
     """What engines and plain upstreams share: an entry in the store, a count of runs by request, an end."""
 
-    def __init__(self, world, name, service, zone, slots):
-        self.world = world
+    def __init__(self, cluster, name, service, zone, slots):
+        self.cluster = cluster
         self.name = name
         self.service = service
         self.zone = zone
         self.slots = slots
-        self.born = int(time.time() * 1000)
+        self.start_time_ms = int(time.time() * 1000)
         self.address = ""
         self.running = 0
-        self.is_leaving = False
+        self.is_draining = False
         self._server = None
 
     async def start(self):
@@ -102,49 +102,49 @@
         self.proxy_target = "%s:%d" % self._server.sockets[0].getsockname()[:2]
 
     def entry(self):
-        return {"service": self.service, "address": self.address, "zone": self.zone, "slots": self.slots, "seq": 1, "born": self.born,
-                "state": "draining" if self.is_leaving else "ready", "coldLeftMs": 0}
+        return {"service": self.service, "address": self.address, "zone": self.zone, "slots": self.slots, "seq": 1, "born": self.start_time_ms,
+                "state": "draining" if self.is_draining else "ready", "coldLeftMs": 0}
 
     def register(self):
-        self.world.store.put("servers/" + self.name, self.entry())
+        self.cluster.store.put("servers/" + self.name, self.entry())
 
-    def leave(self):
-        self.is_leaving = True
-        self.left_at = time.monotonic()
+    def start_draining(self):
+        self.is_draining = True
+        self.draining_since = time.monotonic()
         self.register()
 
-    def refuse(self, writer, request, status):
+    def reject(self, writer, request, status):
         http1.respond(writer, status, b"", {"Apricotstep-Not-Run": "1", "Apricotstep-Request-Id": request.header("apricotstep-request-id")})
         return True
 
-    def misdirected(self, request):
+    def is_misdirected(self, request):
         expected = request.header("apricotstep-expect-instance")
         return bool(expected) and expected != self.name
 
-    def begin(self, request):
+    def start_run(self, request):
         """Notes a run; the checks look at it when the soak ends."""
-        self.world.note_run(request.header("apricotstep-request-id"), self)
+        self.cluster.record_run(request.header("apricotstep-request-id"), self)
         self.running += 1
 
     def head(self, request):
         return {"Apricotstep-Request-Id": request.header("apricotstep-request-id"), "Apricotstep-Server-Seal": "seal-" + self.name}
 
 
-class Plain(Upstream):
+class PlainUpstream(Upstream):
     """Answers after some milliseconds; now and then with a failure of its own."""
 
     async def handle(self, request, writer):
-        if self.misdirected(request):
-            return self.refuse(writer, request, 421)
+        if self.is_misdirected(request):
+            return self.reject(writer, request, 421)
         if self.running >= self.slots * 2:
-            return self.refuse(writer, request, 503)
-        self.begin(request)
+            return self.reject(writer, request, 503)
+        self.start_run(request)
         try:
-            await asyncio.sleep(self.world.random.uniform(0.005, 0.04))
+            await asyncio.sleep(self.cluster.random.uniform(0.005, 0.04))
         finally:
             self.running -= 1
-        status = 500 if self.world.random.random() < 0.01 else 200
-        http1.respond(writer, status, self.world.body_of(request.header("apricotstep-request-id")), self.head(request))
+        status = 500 if self.cluster.random.random() < 0.01 else 200
+        http1.respond(writer, status, self.cluster.expected_body(request.header("apricotstep-request-id")), self.head(request))
         await writer.drain()
         return True
 
@@ -152,20 +152,20 @@
 class Engine(Upstream):
     """Streams events; holds a few adapters; takes orders and notes who gave them."""
 
-    def __init__(self, world, name, service, zone, slots):
-        super().__init__(world, name, service, zone, slots)
+    def __init__(self, cluster, name, service, zone, slots):
+        super().__init__(cluster, name, service, zone, slots)
         self.adapters = {}
-        self.coming = {}
-        self.uses = {}
-        self.orders = 0
+        self.loading = {}
+        self.running_by_adapter = {}
+        self.order_count = 0
 
     def entry(self):
         return dict(super().entry(), models=[{"name": "m", "version": 1, "adapters": []}])
 
     async def handle(self, request, writer):
-        if self.misdirected(request):
-            return self.refuse(writer, request, 421)
-        self.finish_loads()
+        if self.is_misdirected(request):
+            return self.reject(writer, request, 421)
+        self.complete_loads()
         if request.path == "/apricotstep/report":
             http1.respond(writer, 200, json.dumps(self.report()).encode(), JSON)
             return True
@@ -174,56 +174,56 @@
             return True
         return await self.generate(request, writer)
 
-    def finish_loads(self):
+    def complete_loads(self):
         now = time.monotonic()
-        for name, (version, done_at) in list(self.coming.items()):
+        for name, (version, done_at) in list(self.loading.items()):
             if now >= done_at:
-                del self.coming[name]
+                del self.loading[name]
                 self.adapters[name] = version
 
     def report(self):
         held = [f"{name}@{version}" for name, version in self.adapters.items()]
-        coming = [f"m/{name}@{version}" for name, (version, _) in self.coming.items()]
-        return {"stage": "colocated", "models": [{"name": "m", "version": 1, "adapters": held}], "coming": coming, "busy": False,
-                "seq": self.orders, "waiting": 0, "running": self.running, "kvUsed": 0, "kvTotal": 1000, "handles": 0}
+        loading = [f"m/{name}@{version}" for name, (version, _) in self.loading.items()]
+        return {"stage": "colocated", "models": [{"name": "m", "version": 1, "adapters": held}], "coming": loading, "busy": False,
+                "seq": self.order_count, "waiting": 0, "running": self.running, "kvUsed": 0, "kvTotal": 1000, "handles": 0}
 
     def order(self, order):
-        self.world.note_order(self, order)
+        self.cluster.record_order(self, order)
         name = order.get("adapter")
         if name is None:
             return 200
-        self.orders += 1
+        self.order_count += 1
         if order["opKind"] == "unload":
-            if self.uses.get(name, 0) > 0:
+            if self.running_by_adapter.get(name, 0) > 0:
                 return 202
             self.adapters.pop(name, None)
             return 200
-        version = order.get("version", self.world.version_of(name))
+        version = order.get("version", self.cluster.adapter_version(name))
         if self.adapters.get(name) == version:
             return 200
-        if name in self.coming:
+        if name in self.loading:
             return 202
-        places = set(self.adapters) | set(self.coming) | {name}
-        if len(places) > ADAPTER_SLOTS:
-            self.world.fail("LIMIT", f"{self.name} is ordered to hold {len(places)} adapters")
-        self.coming[name] = (version, time.monotonic() + self.world.random.uniform(0.02, 0.3))
+        adapters_to_hold = set(self.adapters) | set(self.loading) | {name}
+        if len(adapters_to_hold) > ADAPTER_SLOTS:
+            self.cluster.fail("LIMIT", f"{self.name} is ordered to hold {len(adapters_to_hold)} adapters")
+        self.loading[name] = (version, time.monotonic() + self.cluster.random.uniform(0.02, 0.3))
         return 202
 
     async def generate(self, request, writer):
         model, _, adapter = request.header("apricotstep-model").partition("/")
         if model != "m" or adapter not in self.adapters:
-            return self.refuse(writer, request, 421)
+            return self.reject(writer, request, 421)
         expected = request.header("apricotstep-expect-version")
         if expected and int(expected) != self.adapters[adapter]:
-            return self.refuse(writer, request, 421)
+            return self.reject(writer, request, 421)
         if self.running >= self.slots:
-            return self.refuse(writer, request, 503)
-        self.begin(request)
-        self.uses[adapter] = self.uses.get(adapter, 0) + 1
+            return self.reject(writer, request, 503)
+        self.start_run(request)
+        self.running_by_adapter[adapter] = self.running_by_adapter.get(adapter, 0) + 1
         try:
             return await self.stream(request, writer)
         finally:
-            self.uses[adapter] -= 1
+            self.running_by_adapter[adapter] -= 1
             self.running -= 1
 
     async def stream(self, request, writer):
@@ -231,12 +231,12 @@
         lines = ["HTTP/1.1 200 X", "Content-Type: text/event-stream", "Transfer-Encoding: chunked"]
         lines += [f"{name}: {value}" for name, value in self.head(request).items()]
         first = int(request.header("last-event-id") or 0) + 1
-        for number in range(first, EVENTS + 1):
-            await asyncio.sleep(self.world.random.uniform(0.01, 0.06))
-            event = self.world.event_of(request_id, number)
+        for number in range(first, EVENTS_PER_STREAM + 1):
+            await asyncio.sleep(self.cluster.random.uniform(0.01, 0.06))
+            event = self.cluster.expected_event(request_id, number)
             prefix = "\r\n".join(lines).encode() + b"\r\n\r\n" if number == first else b""
             writer.write(prefix + b"%x\r\n%s\r\n" % (len(event), event))
             await writer.drain()
         writer.write(b"0\r\n\r\n")
         await writer.drain()
-        return first <= EVENTS
+        return first <= EVENTS_PER_STREAM
