--- a/tests/soak/http1.py
+++ b/tests/soak/http1.py
@@ -1,10 +1,10 @@
-"""A small HTTP/1.1 server and client on asyncio, with what the soak needs to see: every connection, every byte, every early end."""
+"""A small HTTP/1.1 server and client on asyncio that exposes connections, raw bytes and early closes to the soak test."""
 
 import asyncio
 
 
 class Request:
-    """One request as it came; header names in lower case."""
+    """A received request; header names are in lower case."""
 
     def __init__(self, method, target, headers, body):
         self.method = method
@@ -18,7 +18,7 @@
 
 
 class Response:
-    """What a client got: status 0 where no head came; complete only where all bytes came that the head promised."""
+    """What a client received. The status is 0 without a response head; complete means that all bytes announced by the head arrived."""
 
     def __init__(self):
         self.status = 0
@@ -26,12 +26,12 @@
         self.body = b""
         self.is_complete = False
         self.error = ""
-        # The whole request had been handed to the connection.
+        # The whole request was written to the connection.
         self.is_sent = False
 
 
 async def read_head(reader):
-    """First line and headers, or None where the connection ends before."""
+    """Returns the first line and the headers, or None if the connection closes before they are complete."""
     try:
         raw = await reader.readuntil(b"\r\n\r\n")
     except (asyncio.IncompleteReadError, ConnectionError):
@@ -46,7 +46,7 @@
 
 
 async def read_body(reader, headers, is_response=False):
-    """The body by its length or in chunks; raises IncompleteReadError where it ends early."""
+    """Reads a body with a content length or in chunks. Raises IncompleteReadError if it ends early."""
     if "chunked" in headers.get("transfer-encoding", ""):
         parts = []
         while True:
@@ -61,7 +61,7 @@
 
 
 async def serve(host, port, handle):
-    """Starts a server; handle(request, writer) answers one request and returns whether the connection stays open."""
+    """Starts a server. handle(request, writer) responds to one request and returns whether the connection stays open."""
 
     async def on_connection(reader, writer):
         try:
@@ -74,7 +74,7 @@
                 if not await handle(Request(method, target, head[1], body), writer):
                     break
         except (ConnectionError, asyncio.IncompleteReadError, ValueError):
-            pass  # The other side went away; who sent what is checked elsewhere.
+            pass  # The peer closed the connection; the soak checks what was sent.
         finally:
             writer.close()
 
@@ -82,14 +82,14 @@
 
 
 def respond(writer, status, body=b"", headers=None):
-    """Writes a whole answer."""
+    """Writes a complete response."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
     writer.write("\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + body)
 
 
 async def call(address, method, target, headers, body=b"", timeout=10.0, connect_timeout=1.0):
-    """One request on a connection of its own."""
+    """Sends one request on a new connection and returns the response."""
     response = Response()
     host, port = address.rsplit(":", 1)
     writer = None
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy for TCP whose connections can be delayed, reset, cut one way or silenced while they are in use."""
+"""A loopback TCP proxy that can delay, reset, stall or block one direction of its connections while they are in use."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 
 
 class Proxy:
-    """Listens on one address and forwards to another. A mode holds for open connections as well as for new ones."""
+    """Listens on one address and forwards to another. A change of mode affects open and new connections."""
 
     def __init__(self, target):
         self.target = target
@@ -48,7 +48,7 @@
                 data = await reader.read(65536)
             except OSError:
                 data = b""
-            # Held back and not dropped: TCP would send them again until the link heals.
+            # Holds the data back instead of dropping it, because TCP would retransmit it until the link recovers.
             while self.mode in (HANG, cut):
                 await asyncio.sleep(0.02)
             if self.mode == DELAY:
@@ -58,7 +58,7 @@
                     try:
                         writer.write_eof()
                     except OSError:
-                        pass  # The other direction has ended the connection already.
+                        pass  # The other direction has already closed the connection.
                 return
             if writer.is_closing():
                 return
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""A randomized soak: real entry nodes as processes of their own, faults from outside them, promises checked by what callers and upstreams see.
+"""A randomized soak test: runs real entry nodes, injects faults from outside and checks invariants from what callers and upstreams see.
 
     tests/soak/soak.py build --seed 7 --seconds 30 --nodes 6
 
-Faults come in series and overlap: nodes are stopped, paused, killed and restarted; links to the store, to upstreams and from callers are
-delayed, reset, cut one way or silenced; upstreams leave, crash and come back; the configuration changes. A line FAILED names each broken
-promise; logs of the nodes stay in the folder that is printed. Exit status 0 only where no promise was broken.
+Faults repeat and overlap: nodes are stopped, paused, killed and restarted; links to the store, to upstreams and from callers are delayed,
+reset, stalled or blocked in one direction; upstreams drain, crash and return; the configuration changes. Each violated invariant is printed
+on a line that begins with FAILED, and the logs of the nodes are kept in the printed folder. The exit status is 0 only without a violation.
 """
 
 import argparse
@@ -27,15 +27,15 @@
 
 ZONES = ("a", "b")
 HOST = "h.example"
-# What the nodes are told, and what the checks allow on top for a busy machine.
+# Bounds from the settings of the nodes; the ..._SLACK_S constants are tolerances of the checks for a busy machine.
 SHUTDOWN_GRACE_S = 6
 CONFIG_BOUND_S = 2.0
-# A change counts as due at nodes that the store and the links have left alone for so long.
+# A configuration change is expected only at nodes whose store and links have been undisturbed for this long.
 RECONNECT_S = 3.0
 CONFIG_SLACK_S = 1.0
 FAULTS = ("stop_gracefully,kill,kill_many,pause,harm_store_link,harm_caller_link,harm_upstream,upstream_leaves,upstream_crashes,"
           "store_away,store_silent,change_config,hup")
-# Nodes that wait for the store ask again within this.
+# Nodes poll an unresponsive store again within this time.
 POLL_RETRY_S = 5.0
 DRAIN_BOUND_S = 2.0
 DRAIN_SLACK_S = 2.0
@@ -47,7 +47,7 @@
 
 
 def reserve_network():
-    """A number n whose addresses 127.0.n.x no other soak uses, and the socket that keeps it while this process lives."""
+    """Returns a number n whose addresses 127.0.n.x no other soak uses, and the socket that reserves it while this process runs."""
     for number in random.SystemRandom().sample(range(10, 210), 200):
         lock = socket.socket()
         try:
@@ -55,11 +55,11 @@
             return number, lock
         except OSError:
             lock.close()
-    raise RuntimeError("all networks are in use")
+    raise RuntimeError("all loopback networks are in use")
 
 
 class Node:
-    """One entry node: its process, its settings file, its own link to the store and from the callers."""
+    """One entry node: its process, its settings file, and its links to the store and from the callers."""
 
     def __init__(self, cluster, index):
         self.cluster = cluster
@@ -72,7 +72,7 @@
         self.is_paused = False
         self.should_run = True
         self.started_at = 0.0
-        # Since when nothing has been done to it or to its links.
+        # The last time that a fault affected the node or its links.
         self.undisturbed_since = 0.0
 
     def address(self, port):
@@ -139,18 +139,19 @@
 
     def is_undisturbed(self, duration_s):
         links = self.store_link.mode == proxy.PASS and self.caller_link.mode == proxy.PASS
-        return self.is_running() and self.should_run and not self.is_paused and links and time.monotonic() - self.undisturbed_since >= duration_s
+        return self.is_running() and self.should_run and not self.is_paused and links \
+            and time.monotonic() - self.undisturbed_since >= duration_s
 
 
 class TestCluster:
-    """Everything of one soak, with what was seen."""
+    """The nodes, upstreams and store of one soak, with the observed runs, orders and violations."""
 
     def __init__(self, arguments):
         self.arguments = arguments
         self.random = random.Random(arguments.seed)
         self.folder = tempfile.mkdtemp(prefix=f"soak-{arguments.seed}-")
         self.binary = os.path.join(arguments.build, "main", "apricotstep")
-        # Soaks that run at the same time use loopback addresses of their own.
+        # Soaks that run at the same time use separate loopback networks.
         self.network, self.network_lock = reserve_network()
         self.store = standins.Store()
         self.store_address = ""
@@ -158,7 +159,7 @@
         self.upstreams = []
         self.links = {}
         self.zones = {}
-        # While the store's return is played and judged, no other fault of the store begins.
+        # While the recovery of a store that hung is being checked, no other store fault starts.
         self.is_store_check_running = False
         self.version = 1
         self.has_extra_route = False
@@ -175,7 +176,7 @@
         self.faults_end = time.monotonic() + arguments.seconds
         self.next_request = 0
 
-    # What the stand-ins ask and tell.
+    # Interface for the stand-ins.
 
     def fail(self, promise, text):
         line = f"FAILED {promise} at {time.monotonic() - self.began_at:.2f} s: {text}"
@@ -195,14 +196,14 @@
         self.runs.setdefault(request_id, []).append(upstream.name)
         kind = self.request_kinds.get(request_id)
         if kind is None:
-            self.fail("UNASKED", f"{upstream.name} runs {request_id!r}, which no caller sent")
+            self.fail("UNASKED", f"{upstream.name} ran {request_id!r}, which no caller sent")
         elif kind == "pay" and len(self.runs[request_id]) > 1:
             self.fail("TWICE", f"{request_id} ran at {self.runs[request_id]}")
         if request_id in self.reported_not_run:
-            self.fail("REFUSED", f"{request_id} runs at {upstream.name} after its caller was told that it would not")
+            self.fail("REFUSED", f"{request_id} ran at {upstream.name} after its caller was told that it did not run")
         if upstream.is_draining and self.is_cluster_undisturbed(DRAIN_BOUND_S + DRAIN_SLACK_S):
             if time.monotonic() - upstream.draining_since > DRAIN_BOUND_S + DRAIN_SLACK_S:
-                self.fail("DRAIN", f"{request_id} reaches {upstream.name} long after it said that it leaves")
+                self.fail("DRAIN", f"{request_id} reached {upstream.name} too long after it announced that it is draining")
 
     def record_order(self, engine, order):
         now = time.monotonic()
@@ -216,14 +217,14 @@
         self.last_orders[engine.name] = (holder, fence, now, engine.start_time_ms)
 
     def was_recently_disturbed(self, holder):
-        """What a node had sent before it was paused may arrive right after it woke."""
+        """Returns whether the node was disturbed in the last 0.3 s. What it sent before a pause may arrive right after it resumes."""
         return any(node.name == holder and time.monotonic() - node.undisturbed_since < 0.3 for node in self.nodes)
 
     def is_cluster_undisturbed(self, duration_s):
         is_store_undisturbed = not self.store.is_down and time.monotonic() - self.store_undisturbed_since >= duration_s
         return is_store_undisturbed and all(node.is_undisturbed(duration_s) or not node.is_running() for node in self.nodes)
 
-    # Start and end.
+    # Start and stop.
 
     async def start(self):
         self.began_at = time.monotonic()
@@ -241,7 +242,7 @@
             node.start()
 
     async def add_upstream(self, kind, name, service, slots):
-        # A server that starts again under its name stands where it stood.
+        # An upstream that restarts under the same name keeps its zone.
         zone = self.zones.setdefault(name, ZONES[len(self.zones) % len(ZONES)])
         upstream = kind(self, name, service, zone, slots)
         await upstream.start()
@@ -302,18 +303,20 @@
         self.check_response(request_id, kind, node, response, was_extra, was_undisturbed, sent_at)
 
     def check_response(self, request_id, kind, node, response, was_extra, was_undisturbed, sent_at):
-        expected = b"".join(self.expected_event(request_id, n) for n in range(1, standins.EVENTS_PER_STREAM + 1)) if kind == "chat" else self.expected_body(request_id)
+        expected = b"".join(self.expected_event(request_id, n) for n in range(1, standins.EVENTS_PER_STREAM + 1)) \
+            if kind == "chat" else self.expected_body(request_id)
         if 200 <= response.status < 300 and response.is_complete and response.body != expected:
-            self.fail("MIXED", f"{request_id} ({kind}) at {node.name} got another body: {response.body[:80]!r}")
+            self.fail("MIXED", f"{request_id} ({kind}) at {node.name} received a wrong body: {response.body[:80]!r}")
         if response.status in NOT_RUN_STATUSES:
             self.reported_not_run.add(request_id)
             if self.runs.get(request_id):
                 self.fail("REFUSED", f"{request_id} ({kind}) was told {response.status} by {node.name}, but ran at {self.runs[request_id]}")
         is_undisturbed = was_undisturbed and node.is_undisturbed(3.0 + time.monotonic() - sent_at)
         is_config_settled = sent_at - self.config_published_at > CONFIG_BOUND_S + CONFIG_SLACK_S and was_extra == self.has_extra_route
-        if kind == "extra" and is_undisturbed and is_config_settled and not self.is_store_unavailable() and sent_at - self.store_undisturbed_since > RECONNECT_S:
+        if kind == "extra" and is_undisturbed and is_config_settled and not self.is_store_unavailable() \
+                and sent_at - self.store_undisturbed_since > RECONNECT_S:
             if (response.status == 404) == self.has_extra_route and response.status in (200, 404):
-                self.fail("CONFIG", f"{request_id}: {response.status} at {node.name}, though the route {'is' if was_extra else 'is not'} there")
+                self.fail("CONFIG", f"{request_id}: {response.status} at {node.name}, route {'is' if was_extra else 'is not'} in force")
         if kind != "extra" and response.status == 404:
             self.fail("DENIED", f"{request_id} ({kind}) got 404 at {node.name}")
         is_served = 200 <= response.status < 300 and response.is_complete
@@ -337,12 +340,12 @@
         await asyncio.gather(*running)
 
     def on_fault_done(self, task):
-        """A fault that could not be played, say because the binary was being built anew, makes all that follows worth nothing."""
+        """Reports a fault that raised an exception, for example because the binary was being rebuilt. The soak is then invalid."""
         if not task.cancelled() and task.exception() is not None:
-            self.fail("SOAK", f"a fault ended with {task.exception()!r}")
+            self.fail("SOAK", f"a fault action raised {task.exception()!r}")
 
     async def repeat(self, action):
-        """A series: the same fault again after a pause, on whom it then meets."""
+        """Repeats a fault one to three times with pauses, each time on a newly chosen target."""
         for _ in range(self.random.choice((1, 1, 2, 3))):
             if time.monotonic() >= self.faults_end:
                 return
@@ -364,7 +367,7 @@
                 break
             await asyncio.sleep(0.05)
         if node.is_running() and not node.is_paused:
-            self.fail("SHUTDOWN", f"{node.name} still runs {SHUTDOWN_GRACE_S} s after SIGTERM")
+            self.fail("SHUTDOWN", f"{node.name} is still running {SHUTDOWN_GRACE_S} s after SIGTERM")
         node.signal(signal.SIGKILL)
         await self.restart(node)
 
@@ -438,7 +441,7 @@
         if upstream.is_draining or self.count_usable(upstream.service) < 2:
             return
         upstream.is_draining = True
-        upstream.draining_since = time.monotonic() + 60.0  # It says nothing of its leaving, so nobody is bound by it.
+        upstream.draining_since = time.monotonic() + 60.0  # A crash is not announced, so the DRAIN check must not apply.
         upstream._server.close()
         self.links[upstream.name].reset_all()
         if self.random.random() < 0.5:
@@ -481,7 +484,7 @@
         self.is_store_check_running = False
 
     async def wait_for_pending_polls(self):
-        """The worst moment for a return: what the nodes have just asked stays unanswered for as long as they wait for it."""
+        """Waits until many nodes have just polled the store. It is the worst time to recover, as these polls hang until they time out."""
         deadline = time.monotonic() + POLL_RETRY_S
         while time.monotonic() < deadline:
             recent_polls = sum(1 for at in self.store.unanswered_polls if time.monotonic() - at < 0.3)
@@ -500,12 +503,12 @@
     async def hup(self):
         self.pick_node().signal(signal.SIGHUP)
 
-    # The whole.
+    # Run of the soak.
 
     def check_processes(self):
         for node in self.nodes:
             if node.should_run and node.process is not None and node.process.poll() is not None:
-                self.fail("EXIT", f"{node.name} ended by itself with status {node.process.returncode}")
+                self.fail("EXIT", f"{node.name} exited unexpectedly with status {node.process.returncode}")
                 node.should_run = False
 
     async def run(self):
@@ -522,13 +525,13 @@
         await asyncio.gather(*callers)
         total = sum(self.late_counts.values())
         if total == 0 or self.late_counts["served"] < 0.9 * total:
-            self.fail("RECOVER", f"{self.late_counts['served']} of {total} requests are served {RECOVERY_S:.0f} s after the last fault")
+            self.fail("RECOVER", f"{self.late_counts['served']} of {total} requests succeeded {RECOVERY_S:.0f} s after the last fault")
         self.stop_all()
         await self.end_connections()
 
     async def end_connections(self):
-        """Ends what still waits on open connections, while the loop that they need is there."""
-        # A cancelled connection is no error here; asyncio would print each.
+        """Cancels the tasks that still wait on open connections before the event loop closes."""
+        # Cancelled connections are expected here, and asyncio would print an error for each.
         asyncio.get_running_loop().set_exception_handler(lambda *_: None)
         waiting = [task for task in asyncio.all_tasks() if task is not asyncio.current_task()]
         for task in waiting:
@@ -537,13 +540,13 @@
 
 
 def main():
-    parser = argparse.ArgumentParser(description="Soak of real entry nodes under faults from outside")
-    parser.add_argument("--faults", default=FAULTS, help="the kinds of fault to play, separated by commas (all)")
-    parser.add_argument("build", help="build folder with main/apricotstep")
+    parser = argparse.ArgumentParser(description="Soak test of real entry nodes under injected faults")
+    parser.add_argument("--faults", default=FAULTS, help="kinds of fault to inject, separated by commas (default: all)")
+    parser.add_argument("build", help="build folder that contains main/apricotstep")
     parser.add_argument("--seed", type=int, default=random.SystemRandom().randrange(1 << 30))
-    parser.add_argument("--seconds", type=float, default=20.0, help="how long faults come")
-    parser.add_argument("--nodes", type=int, default=6, help="entry nodes, at most 200")
-    parser.add_argument("--callers", type=int, default=8, help="callers, each with one request at a time")
+    parser.add_argument("--seconds", type=float, default=20.0, help="duration of the fault injection")
+    parser.add_argument("--nodes", type=int, default=6, help="number of entry nodes, at most 200")
+    parser.add_argument("--callers", type=int, default=8, help="number of callers; each sends one request at a time")
     arguments = parser.parse_args()
     print(f"seed {arguments.seed}, {arguments.seconds:.0f} s of faults, {arguments.nodes} nodes", flush=True)
     cluster = TestCluster(arguments)
--- a/tests/soak/standins.py
+++ b/tests/soak/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform: its store, model engines and plain upstreams. They keep what the checks need: who ran what, who ordered what."""
+"""Stand-ins for the platform's store, for model engines and for plain upstreams. They report runs and orders to the checks."""
 
 import asyncio
 import base64
@@ -11,13 +11,13 @@
 LEASE_S = 3.0
 ADAPTER_SLOTS = 4
 EVENTS_PER_STREAM = 6
-# Longer than anybody waits for an answer.
+# Longer than any caller or node waits for a response.
 HANG_S = 30.0
 JSON = {"Content-Type": "application/json"}
 
 
 class Store:
-    """Keys with revisions; range and watch as the nodes call them."""
+    """Key-value store with revisions and the range and watch calls that nodes use."""
 
     def __init__(self):
         self.revision = 1
@@ -30,7 +30,7 @@
         self._changed = asyncio.Event()
 
     def stop_responding(self):
-        """What waits here, and what is asked from now on, is never answered."""
+        """Leaves pending and future requests without a response."""
         self.is_unresponsive = True
         self._hang_count += 1
 
@@ -83,7 +83,7 @@
 
 
 class Upstream:
-    """What engines and plain upstreams share: an entry in the store, a count of runs by request, an end."""
+    """Base of engines and plain upstreams: registration in the store, reporting of runs, and draining."""
 
     def __init__(self, cluster, name, service, zone, slots):
         self.cluster = cluster
@@ -102,8 +102,8 @@
         self.proxy_target = "%s:%d" % self._server.sockets[0].getsockname()[:2]
 
     def entry(self):
-        return {"service": self.service, "address": self.address, "zone": self.zone, "slots": self.slots, "seq": 1, "born": self.start_time_ms,
-                "state": "draining" if self.is_draining else "ready", "coldLeftMs": 0}
+        return {"service": self.service, "address": self.address, "zone": self.zone, "slots": self.slots, "seq": 1,
+                "born": self.start_time_ms, "state": "draining" if self.is_draining else "ready", "coldLeftMs": 0}
 
     def register(self):
         self.cluster.store.put("servers/" + self.name, self.entry())
@@ -122,7 +122,7 @@
         return bool(expected) and expected != self.name
 
     def start_run(self, request):
-        """Notes a run; the checks look at it when the soak ends."""
+        """Reports a run to the checks."""
         self.cluster.record_run(request.header("apricotstep-request-id"), self)
         self.running += 1
 
@@ -131,7 +131,7 @@
 
 
 class PlainUpstream(Upstream):
-    """Answers after some milliseconds; now and then with a failure of its own."""
+    """Responds after 5 to 40 ms; 1 % of the responses have status 500."""
 
     async def handle(self, request, writer):
         if self.is_misdirected(request):
@@ -150,7 +150,7 @@
 
 
 class Engine(Upstream):
-    """Streams events; holds a few adapters; takes orders and notes who gave them."""
+    """Streams events, holds a few adapters and executes load and unload orders."""
 
     def __init__(self, cluster, name, service, zone, slots):
         super().__init__(cluster, name, service, zone, slots)
@@ -205,7 +205,7 @@
             return 202
         adapters_to_hold = set(self.adapters) | set(self.loading) | {name}
         if len(adapters_to_hold) > ADAPTER_SLOTS:
-            self.cluster.fail("LIMIT", f"{self.name} is ordered to hold {len(adapters_to_hold)} adapters")
+            self.cluster.fail("LIMIT", f"{self.name} was ordered to hold {len(adapters_to_hold)} adapters")
         self.loading[name] = (version, time.monotonic() + self.cluster.random.uniform(0.02, 0.3))
         return 202
 
