--- a/tests/scenarios/runner/callers.cpp
+++ b/tests/scenarios/runner/callers.cpp
@@ -229,7 +229,7 @@
     return {};
 }
 
-// Retries a chat after any failure, because chats are idempotent.
+// Retries a chat after any failure except 404 and 409, because running it twice does no harm.
 void Callers::Private::chatWithRetries(RequestRecord &record, const Options &options) const
 {
     const auto offset = static_cast<std::size_t>(counter.load());
