--- a/tests/knownred.sh
+++ b/tests/knownred.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Runs CTest so that the tests of KNOWN-RED.txt run and are shown but do not fail the build. Usage: tests/knownred.sh BUILD-FOLDER [ctest options]
+# Runs CTest. The tests listed in KNOWN-RED.txt run and are printed, but do not fail the build.
+# Usage: tests/knownred.sh BUILD-FOLDER [ctest options]
 set -uo pipefail
 build="$1"
 shift
@@ -9,11 +10,11 @@
 if [ -z "$names" ]; then
     exec ctest --test-dir "$build" --output-on-failure --no-tests=error "$@"
 fi
-echo "== known red, shown but not counted (KNOWN-RED.txt):"
+echo "== known failing tests, printed but not counted (KNOWN-RED.txt):"
 grep -v -e '^#' -e '^$' "$list"
 for name in ${names//|/ }; do
     if ctest --test-dir "$build" -R "^$name\$" --no-tests=error >"$build/known-red.log" 2>&1; then
-        echo "KNOWN-RED PASSED: $name; take it off the list"
+        echo "KNOWN-RED PASSED: $name; remove it from the list"
     else
         echo "KNOWN-RED FAILED: $name"
         tail -30 "$build/known-red.log"
--- a/tests/layers.sh
+++ b/tests/layers.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Names of the users' platform stand only in platform/, its tests and deploy/, and only main/ uses platform/. A name of theirs elsewhere would
-# spread a contract that is not the product's own through code that has to live without it.
+# Checks that names of the users' platform occur only in platform/, its tests and deploy/, and that only main/ uses platform/. Such a name
+# elsewhere would make code depend on an interface that the product does not own and must work without.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 names='Apricotstep-[A-Z]|apricotstep-(request|deadline|expect|not-run|server|model|kv|hold|pin)|/apricotstep/|kv-(range|watch|key|from|fetch)|storeRevision|pathPrefix"|APRICOTSTEP_BOOT'
@@ -12,7 +12,7 @@
 fi
 users=$(git ls-files '*.cpp' '*.h' | grep -vE '^(platform|main|tests)/' | xargs grep -ln '#include "platform/' || true)
 if [ -n "$users" ]; then
-    echo "platform/ is for main/ alone, but these include it:"
+    echo "only main/ may use platform/, but these files include it:"
     echo "$users"
     exit 1
 fi
--- a/tests/operators/burn.sh
+++ b/tests/operators/burn.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# An outage with real processes: two nodes, a plain service that dies. `apricotstep burn --all` must show what arithmetic says, within 1 %.
-# Before that, `apricotstep address` must tell what the node would tell a caller, and say so when there is no such model.
+# An outage with real processes: two nodes and a plain service that is stopped. `apricotstep burn --all` must show the calculated burn rate
+# within 1 %. Before that, `apricotstep address` must show the address that the node returns to a caller, and report an unknown selector.
 # Usage: tests/operators/burn.sh BUILD
 set -euo pipefail
 BUILD="$(cd "$1" && pwd)"
@@ -44,23 +44,23 @@
     sleep 0.1
 done
 
-# call COUNT STATUS: that many calls over both nodes, each of which must get that status.
+# call COUNT STATUS: makes COUNT calls alternating between both nodes; the status of each must match the pattern STATUS.
 call() {
     for i in $(seq "$1"); do
         got="$(curl -s -o /dev/null -w '%{http_code}' "http://${CALLERS[$((i % 2))]}/svc/lookups/menu")"
-        [[ "$got" =~ $2 ]] || { echo "a call got $got, not $2"; exit 1; }
+        [[ "$got" =~ $2 ]] || { echo "a call returned $got, expected $2"; exit 1; }
     done
 }
 address() { "$BUILD/main/apricotstep" address --node "${CALLERS[0]}" "$@"; }
 address --model shop=kumasi | tee "$WORK/address.txt"
-TOLD="$(curl -s "http://${CALLERS[0]}/v1/address?model=shop=kumasi")"
+RESPONSE="$(curl -s "http://${CALLERS[0]}/v1/address?model=shop=kumasi")"
 grep -q 'resolves to kitchen@1' "$WORK/address.txt"
-grep -q "^engine engine1 of node $(jq -r '.addresses[0].node' <<<"$TOLD")$" "$WORK/address.txt"
-grep -q "^caller is told: .* at $(jq -r '.addresses[0].address' <<<"$TOLD")$" "$WORK/address.txt"
-[ "$(jq 'has("candidates")' <<<"$TOLD")" = false ]
-CODE=0
-address --model shop=nowhere 2>"$WORK/unknown.txt" || CODE=$?
-[ "$CODE" = 1 ]
+grep -q "^engine engine1 of node $(jq -r '.addresses[0].node' <<<"$RESPONSE")$" "$WORK/address.txt"
+grep -q "^caller is told: .* at $(jq -r '.addresses[0].address' <<<"$RESPONSE")$" "$WORK/address.txt"
+[ "$(jq 'has("candidates")' <<<"$RESPONSE")" = false ]
+EXIT_CODE=0
+address --model shop=nowhere 2>"$WORK/unknown.txt" || EXIT_CODE=$?
+[ "$EXIT_CODE" = 1 ]
 grep -q unknown_selector "$WORK/unknown.txt"
 call 160 '^200$'
 kill -TERM "$SERVICE_PID"
@@ -69,8 +69,8 @@
 burn
 burn --html "$WORK/burn.html"
 grep -q '<svg' "$WORK/burn.html"
-# 40 of 200 bad at a target of 99 %: 20 % over 1 % is a burn of 20.
+# 40 of 200 calls failed at a target of 99 %: 20 % errors over a budget of 1 % is a burn rate of 20.
 burn --json | jq -e '.missing == [] and (.nodes | length) == 2 and .classes.service.bad == 40 and .classes.service.good == 160
     and (.classes.service.burn_5m | . > 19.8 and . < 20.2) and .classes.service.alert == "page"' >/dev/null \
-    || { echo "the burn is not what arithmetic says"; burn --json | jq -c '.nodes, .missing, (.classes.service | del(.minutes))'; exit 1; }
+    || { echo "the burn rate differs from the calculated one"; burn --json | jq -c '.nodes, .missing, (.classes.service | del(.minutes))'; exit 1; }
 echo "burn test passed"
