--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -1,7 +1,7 @@
 // Runs the decisions of coordination/ under virtual time against small fakes, beside the policies that a user would build first and the
 // bounds that no policy passes. Prints one line a figure: name value unit.
 
-#include "bench/decisions/figures.h"
+#include "bench/decisions/metrics.h"
 
 #include <CLI/CLI.hpp>
 
@@ -25,7 +25,7 @@
     std::string scenario = "all";
     std::string store = "rate";
     int threads = 4;
-    double offered = 0;
+    double offeredRate = 0;
     int stallWeight = -1;
     int batchWeight = -1;
     int urgentSlots = -1;
@@ -34,48 +34,48 @@
 constexpr Policy Baselines[] = { Policy::RandomLru, Policy::LeastLoadedLru, Policy::HashLru, Policy::Fifo };
 
 /** Figures of all policies under one seed, named policy.figure, and the ratios between them. */
-Figures runSeed(const Deployment &deployment, Scenario scenario, StoreReading reading, std::uint64_t seed)
+Metrics runSeed(const Deployment &deployment, Scenario scenario, StoreModel storeModel, std::uint64_t seed)
 {
-    Figures all;
-    std::map<Policy, Figures> byPolicy;
+    Metrics all;
+    std::map<Policy, Metrics> byPolicy;
     RunResult ours;
     for (std::size_t index = 0; index < PolicyCount; ++index) {
         const auto policy = static_cast<Policy>(index);
-        RunResult result = runOnce(deployment, { policy, scenario, reading, seed });
-        byPolicy[policy] = figuresOf(deployment, result);
+        RunResult result = runSimulation(deployment, { policy, scenario, storeModel, seed });
+        byPolicy[policy] = computeMetrics(deployment, result);
         const std::string prefix = std::string(policyName(policy)) + '.';
-        for (const auto &[name, figure] : byPolicy[policy]) {
-            std::string full = prefix;
-            all[full.append(name)] = figure;
+        for (const auto &[name, metric] : byPolicy[policy]) {
+            std::string fullName = prefix;
+            all[fullName.append(name)] = metric;
         }
         if (policy == Policy::Ours) {
             ours = std::move(result);
         }
     }
-    const auto bestOf = [&](const std::string &name, bool isLeast) {
-        double best = isLeast ? 1e18 : 0;
+    const auto bestOf = [&](const std::string &name, bool isLowerBetter) {
+        double best = isLowerBetter ? 1e18 : 0;
         for (const Policy policy : Baselines) {
             const double value = byPolicy[policy].at(name).value;
             // A policy that served nothing which had to wait has no wait to compare with.
-            if (isLeast && value <= 0) {
+            if (isLowerBetter && value <= 0) {
                 continue;
             }
-            best = isLeast ? std::min(best, value) : std::max(best, value);
+            best = isLowerBetter ? std::min(best, value) : std::max(best, value);
         }
         return best;
     };
     const auto ratio = [](double value, double base) { return base > 0 ? value / base : 0.0; };
-    const auto &own = byPolicy[Policy::Ours];
+    const auto &ourMetrics = byPolicy[Policy::Ours];
     for (const std::string name : { "urgent.stall.p99", "urgent.stall_with_refused.p99", "urgent.first_token.p95", "loads" }) {
-        all["ratio." + name] = { ratio(own.at(name).value, bestOf(name, true)), "ours/best" };
+        all["ratio." + name] = { ratio(ourMetrics.at(name).value, bestOf(name, true)), "ours/best" };
     }
     for (const std::string name : { "batch_fill", "goodput" }) {
-        all["ratio." + name] = { ratio(own.at(name).value, bestOf(name, false)), "ours/best" };
+        all["ratio." + name] = { ratio(ourMetrics.at(name).value, bestOf(name, false)), "ours/best" };
     }
     all["bound.clairvoyant_loads"] = { clairvoyantLoads(deployment, ours), "loads/s" };
-    all["bound.batch_fill"] = { fillBound(deployment, ours), "of-1" };
-    all["ratio.loads_to_clairvoyant"] = { ratio(own.at("loads").value, all["bound.clairvoyant_loads"].value), "ours/bound" };
-    all["ratio.goodput_to_capacity"] = { own.at("goodput").value / deployment.capacity, "ours/capacity" };
+    all["bound.batch_fill"] = { batchFillBound(deployment, ours), "of-1" };
+    all["ratio.loads_to_clairvoyant"] = { ratio(ourMetrics.at("loads").value, all["bound.clairvoyant_loads"].value), "ours/bound" };
+    all["ratio.goodput_to_capacity"] = { ourMetrics.at("goodput").value / deployment.capacity, "ours/capacity" };
     if (scenario == Scenario::HotCaller) {
         const auto isOther = [](const Arrival &arrival) { return arrival.caller != HotCaller; };
         const auto isOtherUrgent = [](const Arrival &arrival) {
@@ -83,8 +83,8 @@
         };
         for (const Policy policy : { Policy::Ours, Policy::HashLru }) {
             const std::string name(policyName(policy));
-            const RunResult without = runOnce(deployment, { policy, Scenario::Steady, reading, seed });
-            const RunResult with = runOnce(deployment, { policy, scenario, reading, seed });
+            const RunResult without = runSimulation(deployment, { policy, Scenario::Steady, storeModel, seed });
+            const RunResult with = runSimulation(deployment, { policy, scenario, storeModel, seed });
             all["ratio.others_p95_with_to_without." + name] = { ratio(firstTokenP95(with, isOther), firstTokenP95(without, isOther)),
                 "with/without" };
             all["ratio.others_urgent_p95_with_to_without." + name] = {
@@ -95,22 +95,22 @@
     return all;
 }
 
-void print(const Options &options, const std::string &prefix, const std::vector<Figures> &seeds)
+void print(const Options &options, const std::string &prefix, const std::vector<Metrics> &seeds)
 {
     for (const auto &[name, first] : seeds.front()) {
         std::vector<double> values;
         values.reserve(seeds.size());
-        for (const Figures &figures : seeds) {
-            values.push_back(figures.at(name).value);
+        for (const Metrics &metrics : seeds) {
+            values.push_back(metrics.at(name).value);
         }
-        std::string full = prefix;
-        full.append(".").append(name);
-        std::printf("%s %.4g %s\n", full.c_str(), percentile(values, 0.5), first.unit.c_str());
+        std::string fullName = prefix;
+        fullName.append(".").append(name);
+        std::printf("%s %.4g %s\n", fullName.c_str(), percentile(values, 0.5), first.unit.c_str());
         // Promises are judged seed by seed, so the worst ones are shown too.
         const bool isCount = first.unit == "requests" || first.unit == "evictions";
         if (options.seeds > 1 && (name.starts_with("ratio.") || (isCount && name.starts_with("ours.")))) {
-            std::printf("%s.min %.4g %s\n", full.c_str(), percentile(values, 0.0), first.unit.c_str());
-            std::printf("%s.max %.4g %s\n", full.c_str(), percentile(values, 1.0), first.unit.c_str());
+            std::printf("%s.min %.4g %s\n", fullName.c_str(), percentile(values, 0.0), first.unit.c_str());
+            std::printf("%s.max %.4g %s\n", fullName.c_str(), percentile(values, 1.0), first.unit.c_str());
         }
     }
     std::fflush(stdout);
@@ -118,8 +118,8 @@
 
 void runScenario(const Options &options, const Deployment &deployment, Scenario scenario)
 {
-    const StoreReading reading = options.store == "parallel" ? StoreReading::Parallel : StoreReading::Rate;
-    std::vector<Figures> seeds(static_cast<std::size_t>(options.seeds));
+    const StoreModel storeModel = options.store == "parallel" ? StoreModel::Parallel : StoreModel::Rate;
+    std::vector<Metrics> seeds(static_cast<std::size_t>(options.seeds));
     std::atomic<int> next { 0 };
     std::vector<std::thread> threads;
     threads.reserve(static_cast<std::size_t>(options.threads));
@@ -127,7 +127,7 @@
         threads.emplace_back([&] {
             for (int index = next++; index < options.seeds; index = next++) {
                 seeds[static_cast<std::size_t>(index)] =
-                    runSeed(deployment, scenario, reading, options.seed + static_cast<std::uint64_t>(index));
+                    runSeed(deployment, scenario, storeModel, options.seed + static_cast<std::uint64_t>(index));
             }
         });
     }
@@ -153,14 +153,14 @@
     app.add_option("--scenario", options.scenario)->check(CLI::IsMember(scenarios));
     app.add_option("--store", options.store, "Reading of the store's limit")->check(CLI::IsMember({ "rate", "parallel" }));
     app.add_option("--threads", options.threads, "Seeds that run at once")->check(CLI::Range(1, 64));
-    app.add_option("--offered", options.offered, "Requests a second in place of the deployment's own");
+    app.add_option("--offered", options.offeredRate, "Requests a second in place of the deployment's own");
     app.add_option("--stall-weight", options.stallWeight);
     app.add_option("--batch-weight", options.batchWeight);
     app.add_option("--urgent-slots", options.urgentSlots, "Percent of the slots left to urgent work");
     CLI11_PARSE(app, argc, argv);
 
     Deployment deployment = options.deployment == "kumasi" ? kumasi() : ksiegowo();
-    deployment.offered = options.offered > 0 ? options.offered : deployment.offered;
+    deployment.offeredRate = options.offeredRate > 0 ? options.offeredRate : deployment.offeredRate;
     deployment.stallWeight = options.stallWeight >= 0 ? options.stallWeight : deployment.stallWeight;
     deployment.batchWeight = options.batchWeight >= 0 ? options.batchWeight : deployment.batchWeight;
     deployment.urgentSlotsPercent = options.urgentSlots >= 0 ? options.urgentSlots : deployment.urgentSlotsPercent;
--- a/bench/decisions/baseline.cpp
+++ b/bench/decisions/baseline.cpp
@@ -73,7 +73,7 @@
     std::erase_if(m_slots, [](const auto &entry) { return entry.second.isLoaded; });
 }
 
-void BaselineScheduler::refuseLate(Time now)
+void BaselineScheduler::refuseExpired(Time now)
 {
     if (now < m_nextDeadline) {
         return;
@@ -110,7 +110,7 @@
     }
 }
 
-bool BaselineScheduler::makeRoom()
+bool BaselineScheduler::evictLeastRecentlyUsed()
 {
     auto victim = m_slots.end();
     for (auto at = m_slots.begin(); at != m_slots.end(); ++at) {
@@ -140,7 +140,7 @@
             m_actions.emplace_back(StartLoad { item.adapter });
         } else if (evicting > 0) {
             --evicting;
-        } else if (!makeRoom()) {
+        } else if (!evictLeastRecentlyUsed()) {
             return;
         }
     }
@@ -149,11 +149,11 @@
 std::vector<SchedulerAction> BaselineScheduler::handle(const SchedulerEvent &event, Time now)
 {
     m_actions.clear();
-    std::visit(Overloaded { [&](const WorkArrived &what) { on(what); }, [&](const WorkFinished &what) { on(what, now); },
-                   [&](const LoadFinished &what) { on(what, now); }, [&](const EvictFinished &what) { on(what); },
+    std::visit(Overloaded { [&](const WorkArrived &concreteEvent) { on(concreteEvent); }, [&](const WorkFinished &concreteEvent) { on(concreteEvent, now); },
+                   [&](const LoadFinished &concreteEvent) { on(concreteEvent, now); }, [&](const EvictFinished &concreteEvent) { on(concreteEvent); },
                    [&](const UpstreamRestarted &) { onRestart(); }, [](const auto &) {} },
         event);
-    refuseLate(now);
+    refuseExpired(now);
     dispatch(now);
     startLoads(now);
     return std::move(m_actions);
--- a/bench/decisions/baseline.h
+++ b/bench/decisions/baseline.h
@@ -40,10 +40,10 @@
     void on(const ApricotStep::LoadFinished &event, ApricotStep::Time now);
     void on(const ApricotStep::EvictFinished &event);
     void onRestart();
-    void refuseLate(ApricotStep::Time now);
+    void refuseExpired(ApricotStep::Time now);
     void dispatch(ApricotStep::Time now);
     void startLoads(ApricotStep::Time now);
-    bool makeRoom();
+    bool evictLeastRecentlyUsed();
 
     ApricotStep::SchedulerLimits m_limits;
     bool m_isFifo;
--- a/bench/decisions/fakes.cpp
+++ b/bench/decisions/fakes.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr Micros TurnInterval = 500 * Millisecond;
+constexpr Micros FetchInterval = 500 * Millisecond;
 constexpr Micros TransferTime = 250 * Millisecond;
 constexpr double FullSpeedTransfers = 8;
 
@@ -20,9 +20,9 @@
 {
     while (!m_events.empty() && m_events.top().when <= end) {
         m_now = m_events.top().when;
-        const auto what = m_events.top().what;
+        const auto callback = m_events.top().callback;
         m_events.pop();
-        what();
+        callback();
     }
     m_now = end;
 }
@@ -30,50 +30,50 @@
 void WeightStore::fetch(std::function<void()> done)
 {
     ++m_fetches;
-    if (m_reading == StoreReading::Rate) {
+    if (m_storeModel == StoreModel::Rate) {
         fetchAtRate(std::move(done));
         return;
     }
-    share();
+    advanceTransfers();
     m_transfers.push_back({ static_cast<double>(TransferTime), std::move(done) });
-    share();
+    advanceTransfers();
 }
 
 void WeightStore::fetchAtRate(std::function<void()> done)
 {
-    const Micros turn = std::max(m_loop.now(), m_nextTurn);
-    m_nextTurn = turn + TurnInterval;
-    m_loop.at(turn + TransferTime, std::move(done));
+    const Micros startTime = std::max(m_loop.now(), m_nextStartTime);
+    m_nextStartTime = startTime + FetchInterval;
+    m_loop.at(startTime + TransferTime, std::move(done));
 }
 
 // Brings the transfers forward to now and sets the time at which the next one ends.
-void WeightStore::share()
+void WeightStore::advanceTransfers()
 {
     const double speed = std::min(1.0, FullSpeedTransfers / std::max<double>(1.0, static_cast<double>(m_transfers.size())));
-    const double moved = static_cast<double>(m_loop.now() - m_sharedAt) * speed;
-    m_sharedAt = m_loop.now();
-    std::vector<std::function<void()>> ended;
+    const double progress = static_cast<double>(m_loop.now() - m_advancedAt) * speed;
+    m_advancedAt = m_loop.now();
+    std::vector<std::function<void()>> finished;
     for (Transfer &transfer : m_transfers) {
-        transfer.left -= moved;
-        if (transfer.left < 1) {
-            ended.push_back(std::move(transfer.done));
+        transfer.remaining -= progress;
+        if (transfer.remaining < 1) {
+            finished.push_back(std::move(transfer.done));
         }
     }
-    std::erase_if(m_transfers, [](const Transfer &transfer) { return transfer.left < 1; });
-    const std::uint64_t round = ++m_round;
+    std::erase_if(m_transfers, [](const Transfer &transfer) { return transfer.remaining < 1; });
+    const std::uint64_t generation = ++m_generation;
     if (!m_transfers.empty()) {
-        double least = std::numeric_limits<double>::max();
+        double minRemaining = std::numeric_limits<double>::max();
         for (const Transfer &transfer : m_transfers) {
-            least = std::min(least, transfer.left);
+            minRemaining = std::min(minRemaining, transfer.remaining);
         }
         const double factor = std::max(1.0, static_cast<double>(m_transfers.size()) / FullSpeedTransfers);
-        m_loop.after(static_cast<Micros>(least * factor) + 1, [this, round] {
-            if (round == m_round) {
-                share();
+        m_loop.after(static_cast<Micros>(minRemaining * factor) + 1, [this, generation] {
+            if (generation == m_generation) {
+                advanceTransfers();
             }
         });
     }
-    for (const auto &done : ended) {
+    for (const auto &done : finished) {
         done();
     }
 }
@@ -88,7 +88,7 @@
 
 bool FakeEngine::submit(std::uint64_t request, int adapter, int tokens)
 {
-    if (!holds(adapter)) {
+    if (!hasAdapter(adapter)) {
         return false;
     }
     m_running.push_back({ request, adapter, tokens, false, false });
@@ -100,15 +100,15 @@
 
 void FakeEngine::load(int adapter, bool willFail)
 {
-    const bool hasRoom = std::cmp_less(m_loadedAt.size() + m_loading.size(), m_deployment.slots) || holds(adapter);
+    const bool hasRoom = std::cmp_less(m_loadedAt.size() + m_loading.size(), m_deployment.slots) || hasAdapter(adapter);
     if (!hasRoom) {
         m_loop.after(Millisecond, [this, adapter] { m_callbacks.onLoaded(adapter, false); });
         return;
     }
     m_loading.insert(adapter);
-    m_store.fetch([this, adapter, willFail, start = m_start] {
-        const bool isLoaded = !willFail && start == m_start;
-        if (start == m_start) {
+    m_store.fetch([this, adapter, willFail, restartCount = m_restartCount] {
+        const bool isLoaded = !willFail && restartCount == m_restartCount;
+        if (restartCount == m_restartCount) {
             m_loading.erase(adapter);
         }
         if (isLoaded) {
@@ -127,12 +127,12 @@
 
 void FakeEngine::restart()
 {
-    ++m_start;
+    ++m_restartCount;
     m_loadedAt.clear();
     m_loading.clear();
     m_isStepping = false;
-    const std::vector<Running> cut = std::exchange(m_running, {});
-    for (const Running &running : cut) {
+    const std::vector<Running> interrupted = std::exchange(m_running, {});
+    for (const Running &running : interrupted) {
         m_callbacks.onDone(running.request, false);
     }
 }
@@ -140,15 +140,15 @@
 void FakeEngine::scheduleStep()
 {
     m_isStepping = true;
-    Micros joining = 0;
+    Micros joiningCount = 0;
     for (Running &running : m_running) {
-        joining += running.isJoined ? 0 : 1;
-        running.isJoined = true;
+        joiningCount += running.isInBatch ? 0 : 1;
+        running.isInBatch = true;
     }
-    const Micros span =
-        m_deployment.stepBase + m_deployment.stepPerRequest * static_cast<Micros>(m_running.size()) + m_deployment.prefill * joining;
-    m_loop.after(static_cast<Micros>(static_cast<double>(span) * m_slowness), [this, start = m_start] {
-        if (start == m_start) {
+    const Micros stepTime =
+        m_deployment.stepBase + m_deployment.stepPerRequest * static_cast<Micros>(m_running.size()) + m_deployment.prefill * joiningCount;
+    m_loop.after(static_cast<Micros>(static_cast<double>(stepTime) * m_slowdown), [this, restartCount = m_restartCount] {
+        if (restartCount == m_restartCount) {
             step();
         }
     });
@@ -161,19 +161,19 @@
     std::vector<std::uint64_t> done;
     for (Running &running : m_running) {
         // What came during the step joins with the next.
-        if (!running.isJoined) {
+        if (!running.isInBatch) {
             continue;
         }
         ++m_stepTokens;
-        if (!running.hasToken) {
-            running.hasToken = true;
+        if (!running.hasFirstToken) {
+            running.hasFirstToken = true;
             first.push_back(running.request);
         }
-        if (--running.left == 0) {
+        if (--running.remaining == 0) {
             done.push_back(running.request);
         }
     }
-    std::erase_if(m_running, [](const auto &running) { return running.left <= 0; });
+    std::erase_if(m_running, [](const auto &running) { return running.remaining <= 0; });
     m_isStepping = false;
     for (const std::uint64_t request : first) {
         m_callbacks.onFirstToken(request);
--- a/bench/decisions/fakes.h
+++ b/bench/decisions/fakes.h
@@ -16,13 +16,13 @@
 class EventLoop
 {
 public:
-    void at(Micros when, std::function<void()> what)
+    void at(Micros when, std::function<void()> callback)
     {
-        m_events.push({ when, m_count++, std::move(what) });
+        m_events.push({ when, m_count++, std::move(callback) });
     }
-    void after(Micros span, std::function<void()> what)
+    void after(Micros delay, std::function<void()> callback)
     {
-        at(m_now + span, std::move(what));
+        at(m_now + delay, std::move(callback));
     }
     Micros now() const
     {
@@ -35,7 +35,7 @@
     {
         Micros when;
         std::uint64_t order;
-        std::function<void()> what;
+        std::function<void()> callback;
         bool operator<(const Event &other) const
         {
             return when != other.when ? when > other.when : order > other.order;
@@ -47,7 +47,7 @@
 };
 
 /** How the brief's sentence on the weight store is read. */
-enum class StoreReading {
+enum class StoreModel {
     /** Two loads a second overall, in the order of arrival; each takes a quarter second once it is its turn. */
     Rate,
     /** A quarter second while no more than 8 are in flight, proportionally longer beyond. */
@@ -58,9 +58,9 @@
 class WeightStore
 {
 public:
-    WeightStore(EventLoop &loop, StoreReading reading)
+    WeightStore(EventLoop &loop, StoreModel storeModel)
         : m_loop(loop)
-        , m_reading(reading)
+        , m_storeModel(storeModel)
     {
     }
     void fetch(std::function<void()> done);
@@ -71,20 +71,20 @@
 
 private:
     void fetchAtRate(std::function<void()> done);
-    void share();
+    void advanceTransfers();
 
     struct Transfer
     {
-        double left;
+        double remaining;
         std::function<void()> done;
     };
     EventLoop &m_loop;
-    StoreReading m_reading;
-    Micros m_nextTurn = 0;
+    StoreModel m_storeModel;
+    Micros m_nextStartTime = 0;
     int m_fetches = 0;
     std::vector<Transfer> m_transfers;
-    Micros m_sharedAt = 0;
-    std::uint64_t m_round = 0;
+    Micros m_advancedAt = 0;
+    std::uint64_t m_generation = 0;
 };
 
 /** An engine that batches continuously: each step gives every running request one token. */
@@ -94,8 +94,8 @@
     struct Callbacks
     {
         std::function<void(std::uint64_t request)> onFirstToken;
-        /** @p isWhole is false when a restart cut the request off. */
-        std::function<void(std::uint64_t request, bool isWhole)> onDone;
+        /** @p isComplete is false when a restart cut the request off. */
+        std::function<void(std::uint64_t request, bool isComplete)> onDone;
         std::function<void(int adapter, bool isLoaded)> onLoaded;
     };
 
@@ -107,11 +107,11 @@
     /** False when it holds no such adapter or a request runs on it, which must not be asked for. */
     bool unload(int adapter);
     void restart();
-    void setSlowness(double factor)
+    void setSlowdown(double factor)
     {
-        m_slowness = factor;
+        m_slowdown = factor;
     }
-    bool holds(int adapter) const
+    bool hasAdapter(int adapter) const
     {
         return m_loadedAt.contains(adapter);
     }
@@ -144,9 +144,9 @@
     {
         std::uint64_t request;
         int adapter;
-        int left;
-        bool isJoined;
-        bool hasToken;
+        int remaining;
+        bool isInBatch;
+        bool hasFirstToken;
     };
     void scheduleStep();
     void step();
@@ -158,9 +158,9 @@
     std::vector<Running> m_running;
     std::unordered_map<int, Micros> m_loadedAt;
     std::unordered_set<int> m_loading;
-    double m_slowness = 1;
+    double m_slowdown = 1;
     bool m_isStepping = false;
-    std::uint64_t m_start = 0;
+    std::uint64_t m_restartCount = 0;
     int m_evictedInUse = 0;
     std::int64_t m_steps = 0;
     std::int64_t m_stepTokens = 0;
--- a/bench/decisions/figures.cpp
+++ b/bench/decisions/metrics.cpp
@@ -1,4 +1,4 @@
-#include "bench/decisions/figures.h"
+#include "bench/decisions/metrics.h"
 
 #include <algorithm>
 #include <cmath>
@@ -17,34 +17,34 @@
 using ApricotStep::PriorityCount;
 using ApricotStep::PriorityNames;
 
-constexpr double JudgedSeconds = static_cast<double>(ArrivalsEnd - WarmUp) / static_cast<double>(Second);
+constexpr double MeasuredSeconds = static_cast<double>(ArrivalsEnd - WarmUp) / static_cast<double>(Second);
 
-double seconds(Micros span)
+double seconds(Micros duration)
 {
-    return static_cast<double>(span) / static_cast<double>(Second);
+    return static_cast<double>(duration) / static_cast<double>(Second);
 }
 
-bool isJudged(const Arrival &arrival)
+bool isMeasured(const Arrival &arrival)
 {
     return arrival.at >= WarmUp && arrival.at < ArrivalsEnd;
 }
 
 bool isInTime(const Arrival &arrival, const Outcome &outcome)
 {
-    return outcome.isWhole && outcome.firstTokenAt >= 0 && outcome.firstTokenAt <= arrival.deadline;
+    return outcome.isComplete && outcome.firstTokenAt >= 0 && outcome.firstTokenAt <= arrival.deadline;
 }
 
 struct ClassTally
 {
     std::vector<double> stalls;
     // Refused requests count with their whole allowance, so that refusing does not make stalls look short.
-    std::vector<double> stallsOfAll;
-    std::vector<double> firstTokens;
+    std::vector<double> stallsWithRefused;
+    std::vector<double> firstTokenTimes;
     int arrived = 0;
     int inTime = 0;
     int late = 0;
     int refused = 0;
-    int cut = 0;
+    int interrupted = 0;
     int lost = 0;
 };
 
@@ -54,41 +54,41 @@
     const double allowance = seconds(arrival.deadline - arrival.at);
     if (outcome.isRefused) {
         ++tally.refused;
-        tally.stallsOfAll.push_back(allowance);
+        tally.stallsWithRefused.push_back(allowance);
         return;
     }
-    if (outcome.isCut) {
-        ++tally.cut;
+    if (outcome.isInterrupted) {
+        ++tally.interrupted;
         return;
     }
-    if (!outcome.isWhole) {
+    if (!outcome.isComplete) {
         ++tally.lost;
-        tally.stallsOfAll.push_back(allowance);
+        tally.stallsWithRefused.push_back(allowance);
         return;
     }
     tally.stalls.push_back(seconds(outcome.stall));
-    tally.stallsOfAll.push_back(seconds(outcome.stall));
-    tally.firstTokens.push_back(seconds(outcome.firstTokenAt - arrival.at));
+    tally.stallsWithRefused.push_back(seconds(outcome.stall));
+    tally.firstTokenTimes.push_back(seconds(outcome.firstTokenAt - arrival.at));
     (isInTime(arrival, outcome) ? tally.inTime : tally.late) += 1;
 }
 
-void putPercentiles(Figures &figures, const std::string &name, const std::vector<double> &values)
+void addPercentileMetrics(Metrics &metrics, const std::string &name, const std::vector<double> &values)
 {
-    figures[name + ".p50"] = { percentile(values, 0.50), "s" };
-    figures[name + ".p95"] = { percentile(values, 0.95), "s" };
-    figures[name + ".p99"] = { percentile(values, 0.99), "s" };
+    metrics[name + ".p50"] = { percentile(values, 0.50), "s" };
+    metrics[name + ".p95"] = { percentile(values, 0.95), "s" };
+    metrics[name + ".p99"] = { percentile(values, 0.99), "s" };
 }
 
-void putTally(Figures &figures, const std::string &name, const ClassTally &tally)
+void addTallyMetrics(Metrics &metrics, const std::string &name, const ClassTally &tally)
 {
-    putPercentiles(figures, name + ".stall", tally.stalls);
-    figures[name + ".stall_with_refused.p99"] = { percentile(tally.stallsOfAll, 0.99), "s" };
-    putPercentiles(figures, name + ".first_token", tally.firstTokens);
-    figures[name + ".in_time"] = { tally.arrived == 0 ? 1.0 : static_cast<double>(tally.inTime) / tally.arrived, "of-1" };
-    figures[name + ".late"] = { static_cast<double>(tally.late), "requests" };
-    figures[name + ".refused"] = { static_cast<double>(tally.refused), "requests" };
-    figures[name + ".cut"] = { static_cast<double>(tally.cut), "requests" };
-    figures[name + ".lost"] = { static_cast<double>(tally.lost), "requests" };
+    addPercentileMetrics(metrics, name + ".stall", tally.stalls);
+    metrics[name + ".stall_with_refused.p99"] = { percentile(tally.stallsWithRefused, 0.99), "s" };
+    addPercentileMetrics(metrics, name + ".first_token", tally.firstTokenTimes);
+    metrics[name + ".in_time"] = { tally.arrived == 0 ? 1.0 : static_cast<double>(tally.inTime) / tally.arrived, "of-1" };
+    metrics[name + ".late"] = { static_cast<double>(tally.late), "requests" };
+    metrics[name + ".refused"] = { static_cast<double>(tally.refused), "requests" };
+    metrics[name + ".cut"] = { static_cast<double>(tally.interrupted), "requests" };
+    metrics[name + ".lost"] = { static_cast<double>(tally.lost), "requests" };
 }
 
 // Jain's index over the parts of their requests that callers had answered in time.
@@ -97,7 +97,7 @@
     std::unordered_map<int, std::pair<int, int>> callers;
     for (std::size_t request = 0; request < result.arrivals.size(); ++request) {
         const Arrival &arrival = result.arrivals[request];
-        if (isJudged(arrival)) {
+        if (isMeasured(arrival)) {
             ++callers[arrival.caller].first;
             callers[arrival.caller].second += isInTime(arrival, result.outcomes[request]) ? 1 : 0;
         }
@@ -105,27 +105,27 @@
     double sum = 0;
     double squares = 0;
     for (const auto &[caller, counts] : callers) {
-        const double part = static_cast<double>(counts.second) / counts.first;
-        sum += part;
-        squares += part * part;
+        const double fraction = static_cast<double>(counts.second) / counts.first;
+        sum += fraction;
+        squares += fraction * fraction;
     }
     return squares <= 0 ? 0 : sum * sum / (static_cast<double>(callers.size()) * squares);
 }
 
 } // namespace
 
-double percentile(std::vector<double> values, double part)
+double percentile(std::vector<double> values, double fraction)
 {
     if (values.empty()) {
         return 0;
     }
-    const auto at = static_cast<std::ptrdiff_t>(std::ceil(part * static_cast<double>(values.size()))) - 1;
-    const auto place = values.begin() + std::max<std::ptrdiff_t>(0, at);
-    std::nth_element(values.begin(), place, values.end());
-    return *place;
+    const auto at = static_cast<std::ptrdiff_t>(std::ceil(fraction * static_cast<double>(values.size()))) - 1;
+    const auto position = values.begin() + std::max<std::ptrdiff_t>(0, at);
+    std::nth_element(values.begin(), position, values.end());
+    return *position;
 }
 
-Figures figuresOf(const Deployment &deployment, const RunResult &result)
+Metrics computeMetrics(const Deployment &deployment, const RunResult &result)
 {
     ClassTally tallies[PriorityCount];
     int inTime = 0;
@@ -133,36 +133,36 @@
     int lost = 0;
     for (std::size_t request = 0; request < result.arrivals.size(); ++request) {
         const Arrival &arrival = result.arrivals[request];
-        if (isJudged(arrival)) {
+        if (isMeasured(arrival)) {
             add(tallies[static_cast<std::size_t>(arrival.priority)], arrival, result.outcomes[request]);
             dispatched += result.outcomes[request].isDispatched ? 1 : 0;
         }
     }
-    Figures figures;
+    Metrics metrics;
     for (std::size_t index = 0; index < PriorityCount; ++index) {
-        putTally(figures, std::string(PriorityNames[index]), tallies[index]);
+        addTallyMetrics(metrics, std::string(PriorityNames[index]), tallies[index]);
         inTime += tallies[index].inTime;
         lost += tallies[index].lost;
     }
-    figures["goodput"] = { inTime / JudgedSeconds, "requests/s" };
-    figures["lost"] = { static_cast<double>(lost), "requests" };
-    figures["batch_fill"] = {
+    metrics["goodput"] = { inTime / MeasuredSeconds, "requests/s" };
+    metrics["lost"] = { static_cast<double>(lost), "requests" };
+    metrics["batch_fill"] = {
         result.steps == 0 ? 0.0 : static_cast<double>(result.stepTokens) / static_cast<double>(result.steps) / deployment.batch, "of-1"
     };
-    figures["loads"] = { result.loads / JudgedSeconds, "loads/s" };
-    figures["requests_per_load"] = { static_cast<double>(dispatched) / std::max(1, result.loads), "requests" };
-    figures["fairness"] = { fairness(result), "jain" };
-    figures["evicted_in_use"] = { static_cast<double>(result.evictedInUse), "evictions" };
-    figures["told_not_run_but_ran"] = { static_cast<double>(result.toldNotRunButRan), "requests" };
-    return figures;
+    metrics["loads"] = { result.loads / MeasuredSeconds, "loads/s" };
+    metrics["requests_per_load"] = { static_cast<double>(dispatched) / std::max(1, result.loads), "requests" };
+    metrics["fairness"] = { fairness(result), "jain" };
+    metrics["evicted_in_use"] = { static_cast<double>(result.evictedInUse), "evictions" };
+    metrics["told_not_run_but_ran"] = { static_cast<double>(result.refusedButDispatched), "requests" };
+    return metrics;
 }
 
-double firstTokenP95(const RunResult &result, const std::function<bool(const Arrival &)> &isChosen)
+double firstTokenP95(const RunResult &result, const std::function<bool(const Arrival &)> &isSelected)
 {
     std::vector<double> times;
     for (std::size_t request = 0; request < result.arrivals.size(); ++request) {
         const Arrival &arrival = result.arrivals[request];
-        if (isJudged(arrival) && isChosen(arrival) && result.outcomes[request].firstTokenAt >= 0) {
+        if (isMeasured(arrival) && isSelected(arrival) && result.outcomes[request].firstTokenAt >= 0) {
             times.push_back(seconds(result.outcomes[request].firstTokenAt - arrival.at));
         }
     }
@@ -179,11 +179,11 @@
     }
     constexpr std::size_t Never = std::numeric_limits<std::size_t>::max();
     std::vector<std::size_t> nextUse(uses.size(), Never);
-    std::unordered_map<int, std::size_t> seen;
+    std::unordered_map<int, std::size_t> nextUseByAdapter;
     for (std::size_t at = uses.size(); at-- > 0;) {
-        const auto later = seen.find(uses[at].second);
-        nextUse[at] = later == seen.end() ? Never : later->second;
-        seen[uses[at].second] = at;
+        const auto later = nextUseByAdapter.find(uses[at].second);
+        nextUse[at] = later == nextUseByAdapter.end() ? Never : later->second;
+        nextUseByAdapter[uses[at].second] = at;
     }
     std::set<std::pair<std::size_t, int>> byNextUse;
     std::unordered_map<int, std::size_t> resident;
@@ -203,16 +203,16 @@
         resident[adapter] = nextUse[at];
         byNextUse.insert({ nextUse[at], adapter });
     }
-    return loads / JudgedSeconds;
+    return loads / MeasuredSeconds;
 }
 
-double fillBound(const Deployment &deployment, const RunResult &result)
+double batchFillBound(const Deployment &deployment, const RunResult &result)
 {
     const double step = seconds(deployment.stepBase + deployment.stepPerRequest * deployment.batch);
     std::vector<std::pair<double, int>> changes;
     double tokens = 0;
     for (const Arrival &arrival : result.arrivals) {
-        if (!isJudged(arrival)) {
+        if (!isMeasured(arrival)) {
             continue;
         }
         tokens += arrival.tokens;
@@ -224,11 +224,11 @@
     std::sort(changes.begin(), changes.end());
     double steps = 0;
     int active = 0;
-    double since = 0;
+    double lastChangeAt = 0;
     for (const auto &[at, change] : changes) {
-        steps += (at - since) / step * std::ceil(static_cast<double>(active) / deployment.batch);
+        steps += (at - lastChangeAt) / step * std::ceil(static_cast<double>(active) / deployment.batch);
         active += change;
-        since = at;
+        lastChangeAt = at;
     }
     return std::min(1.0, tokens / (deployment.batch * std::max(steps, tokens / deployment.batch)));
 }
--- a/bench/decisions/run.cpp
+++ b/bench/decisions/run.cpp
@@ -29,8 +29,8 @@
 // After the last arrival the run goes on until the most patient request has its answer.
 constexpr Micros DrainTime = 2400 * Second;
 constexpr double LoadFailureRate = 0.1;
-constexpr double Slowness = 4;
-constexpr std::array<Micros, 2> Restarts { 300 * Second, 480 * Second };
+constexpr double Slowdown = 4;
+constexpr std::array<Micros, 2> RestartTimes { 300 * Second, 480 * Second };
 constexpr int Nodes = 12;
 constexpr int Zones = 4;
 
@@ -44,7 +44,7 @@
     return { AdapterId(std::to_string(adapter)), AdapterVersion("1") };
 }
 
-int numberOf(const AdapterKey &key)
+int adapterNumber(const AdapterKey &key)
 {
     return std::stoi(key.id.value());
 }
@@ -64,11 +64,11 @@
     return limits;
 }
 
-LoadBudget budgetFor(StoreReading reading)
+LoadBudget budgetFor(StoreModel storeModel)
 {
     LoadBudget budget;
-    budget.ratePerSecond = reading == StoreReading::Rate ? 2.0 : 32.0;
-    budget.parallel = reading == StoreReading::Rate ? 1 : 8;
+    budget.ratePerSecond = storeModel == StoreModel::Rate ? 2.0 : 32.0;
+    budget.parallel = storeModel == StoreModel::Rate ? 1 : 8;
     return budget;
 }
 
@@ -81,11 +81,11 @@
     return BaselineScheduler(limits, options.policy == Policy::Fifo);
 }
 
-class Run
+class Simulation
 {
 public:
-    Run(const Deployment &deployment, const RunOptions &options);
-    RunResult go();
+    Simulation(const Deployment &deployment, const RunOptions &options);
+    RunResult run();
 
 private:
     void buildFleet();
@@ -93,15 +93,15 @@
     const std::vector<int> &candidatesOf(int adapter);
     int chooseEngine(int adapter);
     int loadOf(int engine) const;
-    void ended(std::uint64_t request);
+    void onRequestEnded(std::uint64_t request);
     void arrive(std::size_t request);
     void handle(int engine, const SchedulerEvent &event);
-    void carryOut(int engine, const RequestPermit &action);
-    void carryOut(int engine, const ReleasePermit &action);
-    void carryOut(int engine, const StartLoad &action);
-    void carryOut(int engine, const StartEvict &action);
-    void carryOut(int engine, const Dispatch &action);
-    void carryOut(int engine, const Refuse &action);
+    void execute(int engine, const RequestPermit &action);
+    void execute(int engine, const ReleasePermit &action);
+    void execute(int engine, const StartLoad &action);
+    void execute(int engine, const StartEvict &action);
+    void execute(int engine, const Dispatch &action);
+    void execute(int engine, const Refuse &action);
     void sendGrants();
     PermitName permitName(int engine, const AdapterKey &adapter) const;
     void tick();
@@ -111,7 +111,7 @@
     RunOptions m_options;
     EventLoop m_loop;
     WeightStore m_store;
-    PermitIssuer m_giver;
+    PermitIssuer m_permitIssuer;
     std::vector<std::unique_ptr<FakeEngine>> m_engines;
     std::vector<EngineScheduler> m_schedulers;
     std::unique_ptr<Placement> m_placement;
@@ -122,11 +122,11 @@
     RunResult m_result;
 };
 
-Run::Run(const Deployment &deployment, const RunOptions &options)
+Simulation::Simulation(const Deployment &deployment, const RunOptions &options)
     : m_deployment(deployment)
     , m_options(options)
-    , m_store(m_loop, options.reading)
-    , m_giver(budgetFor(options.reading))
+    , m_store(m_loop, options.storeModel)
+    , m_permitIssuer(budgetFor(options.storeModel))
     , m_candidates(static_cast<std::size_t>(deployment.adapters))
     , m_random(options.seed * 7919)
 {
@@ -135,10 +135,10 @@
     for (int engine = 0; engine < deployment.engines; ++engine) {
         FakeEngine::Callbacks callbacks;
         callbacks.onFirstToken = [this](std::uint64_t request) { m_result.outcomes[request].firstTokenAt = m_loop.now(); };
-        callbacks.onDone = [this, engine](std::uint64_t request, bool isWhole) {
-            m_result.outcomes[request].isWhole = isWhole;
-            m_result.outcomes[request].isCut = !isWhole;
-            ended(request);
+        callbacks.onDone = [this, engine](std::uint64_t request, bool isComplete) {
+            m_result.outcomes[request].isComplete = isComplete;
+            m_result.outcomes[request].isInterrupted = !isComplete;
+            onRequestEnded(request);
             handle(engine, WorkFinished { RequestId(request) });
         };
         callbacks.onLoaded = [this, engine](int adapter, bool isLoaded) { handle(engine, LoadFinished { keyOf(adapter), isLoaded }); };
@@ -148,7 +148,7 @@
     buildFleet();
 }
 
-void Run::buildFleet()
+void Simulation::buildFleet()
 {
     CatalogContent content;
     content.version = ConfigVersion(1);
@@ -168,7 +168,7 @@
     m_placement = std::make_unique<Placement>(Catalog::create(std::move(content)).value(), fleet);
 }
 
-const std::vector<int> &Run::candidatesOf(int adapter)
+const std::vector<int> &Simulation::candidatesOf(int adapter)
 {
     std::vector<int> &engines = m_candidates[static_cast<std::size_t>(adapter)];
     if (engines.empty()) {
@@ -179,14 +179,14 @@
     return engines;
 }
 
-int Run::loadOf(int engine) const
+int Simulation::loadOf(int engine) const
 {
     return std::visit(Overloaded { [](const UpstreamScheduler &scheduler) { return scheduler.queuedCount() + scheduler.runningCount(); },
                           [](const BaselineScheduler &scheduler) { return scheduler.load(); } },
         m_schedulers[static_cast<std::size_t>(engine)]);
 }
 
-int Run::chooseEngine(int adapter)
+int Simulation::chooseEngine(int adapter)
 {
     const std::vector<int> &engines = candidatesOf(adapter);
     std::vector<ReplicaView> views;
@@ -198,17 +198,17 @@
     return engines[choice.value_or(0)];
 }
 
-int Run::route(int adapter)
+int Simulation::route(int adapter)
 {
     if (m_options.policy == Policy::RandomLru) {
         return std::uniform_int_distribution<int>(0, m_deployment.engines - 1)(m_random);
     }
     if (m_options.policy == Policy::LeastLoadedLru) {
-        int least = 0;
+        int leastLoaded = 0;
         for (int engine = 1; engine < m_deployment.engines; ++engine) {
-            least = loadOf(engine) < loadOf(least) ? engine : least;
+            leastLoaded = loadOf(engine) < loadOf(leastLoaded) ? engine : leastLoaded;
         }
-        return least;
+        return leastLoaded;
     }
     if (m_options.policy != Policy::Ours) {
         return candidatesOf(adapter).front();
@@ -217,14 +217,14 @@
     return chooseEngine(adapter);
 }
 
-void Run::ended(std::uint64_t request)
+void Simulation::onRequestEnded(std::uint64_t request)
 {
     if (m_options.policy == Policy::Ours) {
         m_spread.onEnd(keyOf(m_result.arrivals[request].adapter), timeAt(m_loop.now()));
     }
 }
 
-void Run::arrive(std::size_t request)
+void Simulation::arrive(std::size_t request)
 {
     const Arrival &arrival = m_result.arrivals[request];
     WorkItem item;
@@ -241,67 +241,67 @@
     }
 }
 
-void Run::handle(int engine, const SchedulerEvent &event)
+void Simulation::handle(int engine, const SchedulerEvent &event)
 {
     const auto actions = std::visit(
         [&](auto &scheduler) { return scheduler.handle(event, timeAt(m_loop.now())); }, m_schedulers[static_cast<std::size_t>(engine)]);
     for (const SchedulerAction &action : actions) {
-        std::visit([&](const auto &what) { carryOut(engine, what); }, action);
+        std::visit([&](const auto &concreteAction) { execute(engine, concreteAction); }, action);
     }
 }
 
-PermitName Run::permitName(int engine, const AdapterKey &adapter) const
+PermitName Simulation::permitName(int engine, const AdapterKey &adapter) const
 {
     return { NodeId("node"), UpstreamId(std::to_string(engine)), adapter };
 }
 
-void Run::carryOut(int engine, const RequestPermit &action)
+void Simulation::execute(int engine, const RequestPermit &action)
 {
     m_loop.after(MessageDelay, [this, engine, action] {
-        m_giver.request({ permitName(engine, action.adapter), action.urgency, action.waiting, action.waited }, timeAt(m_loop.now()));
+        m_permitIssuer.request({ permitName(engine, action.adapter), action.urgency, action.waiting, action.waited }, timeAt(m_loop.now()));
         sendGrants();
         if (action.urgency.has_value()) {
-            const PermitWaitEstimated expected { *action.urgency, m_giver.expectedWait(action.urgency) };
+            const PermitWaitEstimated expected { *action.urgency, m_permitIssuer.expectedWait(action.urgency) };
             m_loop.after(MessageDelay, [this, engine, expected] { handle(engine, expected); });
         }
     });
 }
 
-void Run::carryOut(int engine, const ReleasePermit &action)
+void Simulation::execute(int engine, const ReleasePermit &action)
 {
     m_loop.after(MessageDelay, [this, engine, action] {
-        m_giver.release({ permitName(engine, action.adapter), action.end }, timeAt(m_loop.now()));
+        m_permitIssuer.release({ permitName(engine, action.adapter), action.end }, timeAt(m_loop.now()));
         sendGrants();
     });
 }
 
-void Run::sendGrants()
+void Simulation::sendGrants()
 {
-    for (const PermitGrant &grant : m_giver.grant(timeAt(m_loop.now()))) {
+    for (const PermitGrant &grant : m_permitIssuer.grant(timeAt(m_loop.now()))) {
         m_loop.after(MessageDelay, [this, grant] {
             handle(std::stoi(grant.name.upstream.value()), PermitGranted { grant.name.adapter, timeAt(m_loop.now()) + grant.lifetime });
         });
     }
 }
 
-void Run::carryOut(int engine, const StartLoad &action)
+void Simulation::execute(int engine, const StartLoad &action)
 {
     const bool willFail =
         m_options.scenario == Scenario::LoadFailures && std::uniform_real_distribution<double>(0, 1)(m_random) < LoadFailureRate;
-    m_loop.after(OrderDelay, [this, engine, adapter = numberOf(action.adapter), willFail] {
+    m_loop.after(OrderDelay, [this, engine, adapter = adapterNumber(action.adapter), willFail] {
         m_engines[static_cast<std::size_t>(engine)]->load(adapter, willFail);
     });
 }
 
-void Run::carryOut(int engine, const StartEvict &action)
+void Simulation::execute(int engine, const StartEvict &action)
 {
     m_loop.after(OrderDelay, [this, engine, adapter = action.adapter] {
-        m_engines[static_cast<std::size_t>(engine)]->unload(numberOf(adapter));
+        m_engines[static_cast<std::size_t>(engine)]->unload(adapterNumber(adapter));
         handle(engine, EvictFinished { adapter, true });
     });
 }
 
-void Run::carryOut(int engine, const Dispatch &action)
+void Simulation::execute(int engine, const Dispatch &action)
 {
     const std::uint64_t request = action.id.value();
     const Arrival &arrival = m_result.arrivals[request];
@@ -311,7 +311,7 @@
         ++m_result.sentToUnloaded;
         m_loop.after(MessageDelay, [this, engine, request] {
             m_result.outcomes[request].isRefused = true;
-            ended(request);
+            onRequestEnded(request);
             handle(engine, WorkFinished { RequestId(request) });
         });
         return;
@@ -320,15 +320,15 @@
     outcome.stall = std::max<Micros>(0, target.loadedAt(arrival.adapter) - arrival.at);
 }
 
-void Run::carryOut(int, const Refuse &action)
+void Simulation::execute(int, const Refuse &action)
 {
     Outcome &outcome = m_result.outcomes[action.id.value()];
-    m_result.toldNotRunButRan += outcome.isDispatched ? 1 : 0;
+    m_result.refusedButDispatched += outcome.isDispatched ? 1 : 0;
     outcome.isRefused = true;
-    ended(action.id.value());
+    onRequestEnded(action.id.value());
 }
 
-void Run::tick()
+void Simulation::tick()
 {
     for (int engine = 0; engine < m_deployment.engines; ++engine) {
         handle(engine, Tick {});
@@ -337,23 +337,23 @@
     m_loop.after(TickInterval, [this] { tick(); });
 }
 
-void Run::scheduleFaults()
+void Simulation::scheduleFaults()
 {
     if (m_options.scenario == Scenario::SlowUpstream) {
-        m_engines.front()->setSlowness(Slowness);
+        m_engines.front()->setSlowdown(Slowdown);
     }
     if (m_options.scenario != Scenario::EngineRestart) {
         return;
     }
-    for (std::size_t index = 0; index < Restarts.size(); ++index) {
-        m_loop.at(Restarts[index], [this, engine = static_cast<int>(index)] {
+    for (std::size_t index = 0; index < RestartTimes.size(); ++index) {
+        m_loop.at(RestartTimes[index], [this, engine = static_cast<int>(index)] {
             m_engines[static_cast<std::size_t>(engine)]->restart();
             handle(engine, UpstreamRestarted {});
         });
     }
 }
 
-RunResult Run::go()
+RunResult Simulation::run()
 {
     m_loop.at(m_result.arrivals.front().at, [this] { arrive(0); });
     m_loop.at(0, [this] { tick(); });
@@ -384,9 +384,9 @@
     return Names[static_cast<std::size_t>(policy)];
 }
 
-RunResult runOnce(const Deployment &deployment, const RunOptions &options)
+RunResult runSimulation(const Deployment &deployment, const RunOptions &options)
 {
-    return Run(deployment, options).go();
+    return Simulation(deployment, options).run();
 }
 
 } // namespace DecisionBench
--- a/bench/decisions/run.h
+++ b/bench/decisions/run.h
@@ -28,9 +28,9 @@
     Micros stall = 0;
     Micros firstTokenAt = -1;
     bool isDispatched = false;
-    bool isWhole = false;
+    bool isComplete = false;
     /** A restart of the engine cut the answer off, and the caller was told. */
-    bool isCut = false;
+    bool isInterrupted = false;
     /** Told that it was not run. */
     bool isRefused = false;
 };
@@ -46,17 +46,17 @@
     /** Violations; all must be 0. */
     int evictedInUse = 0;
     int sentToUnloaded = 0;
-    int toldNotRunButRan = 0;
+    int refusedButDispatched = 0;
 };
 
 struct RunOptions
 {
     Policy policy = Policy::Ours;
     Scenario scenario = Scenario::Steady;
-    StoreReading reading = StoreReading::Rate;
+    StoreModel storeModel = StoreModel::Rate;
     std::uint64_t seed = 1;
 };
 
-RunResult runOnce(const Deployment &deployment, const RunOptions &options);
+RunResult runSimulation(const Deployment &deployment, const RunOptions &options);
 
 } // namespace DecisionBench
--- a/bench/decisions/workload.cpp
+++ b/bench/decisions/workload.cpp
@@ -51,9 +51,9 @@
     /** The most popular become rare, and rare ones take their places. */
     void shift(std::mt19937_64 &random)
     {
-        std::uniform_int_distribution<std::size_t> rare(ShiftedRanks, m_adapterOfRank.size() - 1);
+        std::uniform_int_distribution<std::size_t> rareRank(ShiftedRanks, m_adapterOfRank.size() - 1);
         for (std::size_t rank = 0; rank < ShiftedRanks; ++rank) {
-            std::swap(m_adapterOfRank[rank], m_adapterOfRank[rare(random)]);
+            std::swap(m_adapterOfRank[rank], m_adapterOfRank[rareRank(random)]);
         }
     }
 
@@ -66,25 +66,25 @@
 {
     switch (scenario) {
     case Scenario::Light:
-        return deployment.offered * 0.6;
+        return deployment.offeredRate * 0.6;
     case Scenario::Overload2:
         return deployment.capacity * 2;
     case Scenario::Overload5:
         return deployment.capacity * 5;
     case Scenario::Burst:
         // The mean stays as in steady.
-        return deployment.offered * (at % BurstEvery < BurstLength ? BurstFactor : 0.4);
+        return deployment.offeredRate * (at % BurstEvery < BurstLength ? BurstFactor : 0.4);
     default:
-        return deployment.offered;
+        return deployment.offeredRate;
     }
 }
 
 Priority drawClass(const Deployment &deployment, std::mt19937_64 &random)
 {
-    double left = std::uniform_real_distribution<double>(0, 1)(random);
+    double remaining = std::uniform_real_distribution<double>(0, 1)(random);
     for (std::size_t index = 0; index + 1 < ApricotStep::PriorityCount; ++index) {
-        left -= deployment.classes[index].share;
-        if (left < 0) {
+        remaining -= deployment.classes[index].share;
+        if (remaining < 0) {
             return static_cast<Priority>(index);
         }
     }
@@ -96,22 +96,22 @@
     Arrival arrival;
     arrival.at = at;
     arrival.priority = drawClass(deployment, random);
-    const ClassShape &shape = deployment.classes[static_cast<std::size_t>(arrival.priority)];
-    arrival.tokens = std::uniform_int_distribution<int>(shape.minTokens, shape.maxTokens)(random);
+    const ClassProfile &profile = deployment.classes[static_cast<std::size_t>(arrival.priority)];
+    arrival.tokens = std::uniform_int_distribution<int>(profile.minTokens, profile.maxTokens)(random);
     arrival.caller = std::uniform_int_distribution<int>(0, deployment.callers - 1)(random);
     arrival.adapter = popularity.draw(random);
-    const double luck = std::uniform_real_distribution<double>(0, 1)(random);
-    if (scenario == Scenario::HotAdapter && luck < HotAdapterShare) {
+    const double chance = std::uniform_real_distribution<double>(0, 1)(random);
+    if (scenario == Scenario::HotAdapter && chance < HotAdapterShare) {
         arrival.adapter = popularity.mostPopular();
     }
-    if (scenario == Scenario::LongAmongShort && luck < LongShare) {
+    if (scenario == Scenario::LongAmongShort && chance < LongShare) {
         arrival.tokens = LongTokens;
     }
-    arrival.deadline = at + shape.allowance;
+    arrival.deadline = at + profile.allowance;
     return arrival;
 }
 
-Micros gap(double rate, std::mt19937_64 &random)
+Micros interarrivalTime(double rate, std::mt19937_64 &random)
 {
     return static_cast<Micros>(std::exponential_distribution<double>(rate)(random) * static_cast<double>(Second));
 }
@@ -162,7 +162,7 @@
     std::vector<Arrival> arrivals;
     Micros nextShift = ShiftEvery;
     for (Micros at = 0; at < ArrivalsEnd;) {
-        at += gap(rateAt(deployment, scenario, at), random);
+        at += interarrivalTime(rateAt(deployment, scenario, at), random);
         if (scenario == Scenario::PopularityShift && at >= nextShift) {
             popularity.shift(random);
             nextShift += ShiftEvery;
@@ -172,9 +172,9 @@
     if (scenario == Scenario::HotCaller) {
         // Drawn apart, so that the other callers' requests are the same as in steady.
         std::mt19937_64 hotRandom(seed + 1'000'003);
-        const double rate = deployment.offered / deployment.callers * HotCallerFactor;
+        const double rate = deployment.offeredRate / deployment.callers * HotCallerFactor;
         for (Micros at = WarmUp; at < ArrivalsEnd;) {
-            at += gap(rate, hotRandom);
+            at += interarrivalTime(rate, hotRandom);
             arrivals.push_back(drawArrival(deployment, scenario, popularity, at, hotRandom));
             arrivals.back().caller = HotCaller;
         }
--- a/bench/decisions/workload.h
+++ b/bench/decisions/workload.h
@@ -33,7 +33,7 @@
 std::string_view scenarioName(Scenario scenario);
 
 /** How one class of requests looks. */
-struct ClassShape
+struct ClassProfile
 {
     /** Part of all requests, 0 to 1. */
     double share = 0;
@@ -56,8 +56,8 @@
     /** Requests a second that the loads sustain one by one at this skew: store rate / misses of keeping the most popular. */
     double capacity = 4.5;
     /** Offered in the scenarios that are not overload. */
-    double offered = 4.0;
-    ClassShape classes[ApricotStep::PriorityCount];
+    double offeredRate = 4.0;
+    ClassProfile classes[ApricotStep::PriorityCount];
     int stallWeight = 50;
     int batchWeight = 50;
     int urgentSlotsPercent = 25;
