--- a/bench/catalog.cpp
+++ b/bench/catalog.cpp
@@ -47,53 +47,53 @@
     return std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - start).count();
 }
 
-struct Row
+struct Measurement
 {
-    double bytesAnAdapter;
-    double byName;
-    double byLabels;
+    double bytesPerAdapter;
+    double resolveByName;
+    double resolveByLabels;
     double apply;
 };
 
-Row measure(int count)
+Measurement measure(int count)
 {
     const std::size_t before = heapBytes();
     auto catalog = build(count);
     malloc_trim(0);
-    Row row {};
-    row.bytesAnAdapter = static_cast<double>(heapBytes() - before) / count;
+    Measurement measurement {};
+    measurement.bytesPerAdapter = static_cast<double>(heapBytes() - before) / count;
     std::size_t found = 0;
     auto start = std::chrono::steady_clock::now();
     for (int i = 0; i < ResolveCount; ++i) {
         found += catalog->resolve("adapter-of-shop-" + std::to_string(i % (count / 2)) + "@1").isOk() ? 1 : 0;
     }
-    row.byName = microsecondsSince(start) / ResolveCount;
+    measurement.resolveByName = microsecondsSince(start) / ResolveCount;
     start = std::chrono::steady_clock::now();
     for (int i = 0; i < ResolveCount; ++i) {
         found += catalog->resolve("track=stable,shop=shop-" + std::to_string(i % (count / 2))).isOk() ? 1 : 0;
     }
-    row.byLabels = microsecondsSince(start) / ResolveCount;
+    measurement.resolveByLabels = microsecondsSince(start) / ResolveCount;
     start = std::chrono::steady_clock::now();
     for (int i = 0; i < ChangeCount; ++i) {
         CatalogDelta delta { catalog->version(), ConfigVersion(catalog->version().value() + 1) };
         delta.adapters = { adapterOf(i * 7 % count, "moved") };
         catalog = catalog->apply(delta).value();
     }
-    row.apply = microsecondsSince(start) / ChangeCount;
+    measurement.apply = microsecondsSince(start) / ChangeCount;
     std::printf("%7d adapters: %6.1f B an adapter, resolve by name %5.2f us, by two labels %5.2f us, apply a change %6.1f us (%zu found)\n",
-        count, row.bytesAnAdapter, row.byName, row.byLabels, row.apply, found);
-    return row;
+        count, measurement.bytesPerAdapter, measurement.resolveByName, measurement.resolveByLabels, measurement.apply, found);
+    return measurement;
 }
 
 } // namespace
 
 int main()
 {
-    const Row small = measure(SmallCount);
-    const Row large = measure(LargeCount);
+    const Measurement small = measure(SmallCount);
+    const Measurement large = measure(LargeCount);
     constexpr double Growth = static_cast<double>(LargeCount) / SmallCount;
     std::printf("catalog x%.1f: resolve by name x%.2f, by labels x%.2f, apply x%.2f (%.2f us more a 1,000 adapters)\n", Growth,
-        large.byName / small.byName, large.byLabels / small.byLabels, large.apply / small.apply,
+        large.resolveByName / small.resolveByName, large.resolveByLabels / small.resolveByLabels, large.apply / small.apply,
         (large.apply - small.apply) / (LargeCount - SmallCount) * 1000);
     return 0;
 }
--- a/bench/configspread.cpp
+++ b/bench/configspread.cpp
@@ -17,10 +17,10 @@
 
 struct Outcome
 {
-    std::vector<double> spreads;
+    std::vector<double> delays;
     double meanBytes = 0;
     double maxBytes = 0;
-    double callsASecond = 0;
+    double callsPerSecond = 0;
 };
 
 double percentile(const std::vector<double> &sorted, double share)
@@ -42,13 +42,13 @@
         cluster.run(ChangeInterval);
     }
     const double seconds = (cluster.now - begin).toSeconds();
-    outcome.callsASecond = static_cast<double>(cluster.serviceCalls() - callsBefore) / seconds;
+    outcome.callsPerSecond = static_cast<double>(cluster.serviceCalls() - callsBefore) / seconds;
     cluster.run(Duration::seconds(60));
     for (const ConfigVersion version : versions) {
         const auto propagationDelays = cluster.propagationDelays(version);
-        outcome.spreads.insert(outcome.spreads.end(), propagationDelays.begin(), propagationDelays.end());
+        outcome.delays.insert(outcome.delays.end(), propagationDelays.begin(), propagationDelays.end());
     }
-    std::sort(outcome.spreads.begin(), outcome.spreads.end());
+    std::sort(outcome.delays.begin(), outcome.delays.end());
     for (const auto &node : cluster.nodes) {
         const double bytes = static_cast<double>(node->bytes) / changes;
         outcome.meanBytes += bytes / static_cast<double>(cluster.nodes.size());
@@ -57,12 +57,12 @@
     return outcome;
 }
 
-void print(const char *what, int nodes, const Outcome &outcome)
+void print(const char *label, int nodes, const Outcome &outcome)
 {
     std::printf("%-34s %4d nodes: in force p50 %5.2f s, p99 %5.2f s, last %5.2f s; a change and node %4.0f B (most %5.0f B); "
                 "service calls %6.1f/s\n",
-        what, nodes, percentile(outcome.spreads, 0.5), percentile(outcome.spreads, 0.99), outcome.spreads.back(), outcome.meanBytes,
-        outcome.maxBytes, outcome.callsASecond);
+        label, nodes, percentile(outcome.delays, 0.5), percentile(outcome.delays, 0.99), outcome.delays.back(), outcome.meanBytes,
+        outcome.maxBytes, outcome.callsPerSecond);
 }
 
 int zonesOf(int nodes)
@@ -70,30 +70,30 @@
     return nodes <= 20 ? 4 : 16;
 }
 
-void healthy(int nodes)
+void measureHealthy(int nodes)
 {
     ConfigTestCluster cluster(nodes, zonesOf(nodes));
     cluster.run(Start);
     print("service up", nodes, publishAndMeasure(cluster, ChangeCount));
 }
 
-void serviceDownButForOne(int nodes)
+void measureServiceReachableFromOneNode(int nodes)
 {
     ConfigTestCluster cluster(nodes, zonesOf(nodes));
     cluster.run(Start);
-    const auto lucky =
+    const auto connectedNode =
         std::find_if(cluster.nodes.begin(), cluster.nodes.end(), [](const auto &node) { return !node->sync->isWatcher(); })->get();
-    cluster.headFor = [&cluster, lucky](const auto &node) -> Result<ConfigHead> {
-        return &node == lucky ? Result<ConfigHead>(cluster.head) : Error { ErrorKind::UpstreamUnreachable, {} };
+    cluster.headFor = [&cluster, connectedNode](const auto &node) -> Result<ConfigHead> {
+        return &node == connectedNode ? Result<ConfigHead>(cluster.head) : Error { ErrorKind::UpstreamUnreachable, {} };
     };
-    cluster.valueFor = [&cluster, lucky](const auto &node, const std::string &hash) -> Result<ConfigValue> {
-        return &node == lucky ? cluster.stored(hash) : Error { ErrorKind::UpstreamUnreachable, {} };
+    cluster.valueFor = [&cluster, connectedNode](const auto &node, const std::string &hash) -> Result<ConfigValue> {
+        return &node == connectedNode ? cluster.stored(hash) : Error { ErrorKind::UpstreamUnreachable, {} };
     };
     print("up for one node, first change", nodes, publishAndMeasure(cluster, 1));
     print("up for one node, then", nodes, publishAndMeasure(cluster, ChangeCount));
 }
 
-void staleForHalf(int nodes)
+void measureStaleReplicaForHalf(int nodes)
 {
     ConfigTestCluster cluster(nodes, zonesOf(nodes));
     cluster.run(Start);
@@ -113,13 +113,13 @@
 int main()
 {
     for (const int nodes : { 20, 100, 400 }) {
-        healthy(nodes);
+        measureHealthy(nodes);
     }
     for (const int nodes : { 20, 100, 400 }) {
-        serviceDownButForOne(nodes);
+        measureServiceReachableFromOneNode(nodes);
     }
     for (const int nodes : { 20, 100, 400 }) {
-        staleForHalf(nodes);
+        measureStaleReplicaForHalf(nodes);
     }
     return 0;
 }
--- a/bench/decisioncost.cpp
+++ b/bench/decisioncost.cpp
@@ -20,7 +20,7 @@
 {
 public:
     Node(int engines, int adapters, int waiting)
-        : m_waiting(waiting)
+        : m_maxWaiting(waiting)
     {
         SchedulerLimits limits;
         limits.slots = 8;
@@ -45,30 +45,30 @@
         const std::size_t engine = m_random() % m_engines.size();
         auto &pending = m_pending[engine];
         m_now = m_now + Duration(static_cast<std::int64_t>(m_random() % 2));
-        const bool isFull = m_engines[engine].queuedCount() >= m_waiting;
+        const bool isFull = m_engines[engine].queuedCount() >= m_maxWaiting;
         if (!pending.empty() && (isFull || m_random() % 2 == 0)) {
             const SchedulerEvent event = pending.back();
             pending.pop_back();
             handle(engine, event);
         } else if (!isFull) {
-            handle(engine, WorkArrived { item() });
+            handle(engine, WorkArrived { makeItem() });
         } else {
             handle(engine, Tick {});
         }
     }
     int waiting() const
     {
-        int all = 0;
+        int total = 0;
         for (const auto &engine : m_engines) {
-            all += engine.queuedCount();
+            total += engine.queuedCount();
         }
-        return all;
+        return total;
     }
 
 private:
     static constexpr int Callers = 200;
 
-    WorkItem item()
+    WorkItem makeItem()
     {
         // Zipf of exponent 1 by inversion of its continuous form.
         const double unit = std::uniform_real_distribution<double>(0, 1)(m_random);
@@ -96,7 +96,7 @@
         }
     }
 
-    int m_waiting;
+    int m_maxWaiting;
     std::vector<UpstreamScheduler> m_engines;
     std::vector<std::vector<SchedulerEvent>> m_pending;
     std::vector<AdapterKey> m_adapters;
--- a/bench/explore.cpp
+++ b/bench/explore.cpp
@@ -15,23 +15,23 @@
 constexpr int MinNodes = 3;
 constexpr int MaxNodes = 5;
 
-int nodesOf(std::uint64_t seed, int wanted)
+int nodeCount(std::uint64_t seed, int requested)
 {
-    return wanted != 0 ? wanted : MinNodes + static_cast<int>(seed % (MaxNodes - MinNodes + 1));
+    return requested != 0 ? requested : MinNodes + static_cast<int>(seed % (MaxNodes - MinNodes + 1));
 }
 
-void add(HistoryResult &sum, const HistoryResult &one)
+void add(HistoryResult &sum, const HistoryResult &result)
 {
     for (std::size_t i = 0; i < InvariantCount; ++i) {
-        sum.violations[i] += one.violations[i];
+        sum.violations[i] += result.violations[i];
     }
-    sum.served += one.served;
-    sum.refused += one.refused;
-    sum.unknown += one.unknown;
-    sum.evictions += one.evictions;
-    sum.payments += one.payments;
-    sum.takeovers += one.takeovers;
-    sum.fenced += one.fenced;
+    sum.served += result.served;
+    sum.refused += result.refused;
+    sum.unknown += result.unknown;
+    sum.evictions += result.evictions;
+    sum.payments += result.payments;
+    sum.takeovers += result.takeovers;
+    sum.fenced += result.fenced;
 }
 
 // Returns whether no promise was broken.
@@ -40,11 +40,11 @@
     HistoryResult sum;
     int shown = 0;
     for (std::uint64_t seed = firstSeed; seed < firstSeed + count; ++seed) {
-        const HistoryResult one = exploreHistory(seed, nodesOf(seed, nodes), Safeguard::None);
-        add(sum, one);
-        if (one.total() > 0 && shown < 10) {
+        const HistoryResult result = exploreHistory(seed, nodeCount(seed, nodes), Safeguard::None);
+        add(sum, result);
+        if (result.total() > 0 && shown < 10) {
             ++shown;
-            std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), one.first.c_str());
+            std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), result.first.c_str());
         }
     }
     std::printf("histories=%llu first_seed=%llu", static_cast<unsigned long long>(count), static_cast<unsigned long long>(firstSeed));
@@ -60,14 +60,14 @@
 }
 
 // Returns whether some history shows that the guard is missing.
-bool findWithout(Safeguard guard, std::uint64_t firstSeed, std::uint64_t count, int nodes)
+bool findViolationWithout(Safeguard guard, std::uint64_t firstSeed, std::uint64_t count, int nodes)
 {
     for (std::uint64_t seed = firstSeed; seed < firstSeed + count; ++seed) {
-        const HistoryResult one = exploreHistory(seed, nodesOf(seed, nodes), guard);
+        const HistoryResult result = exploreHistory(seed, nodeCount(seed, nodes), guard);
         const std::uint64_t tried = seed - firstSeed + 1;
-        if (one.total() > 0) {
+        if (result.total() > 0) {
             std::printf("without %s: seed %llu after %llu histories: %s\n", safeguardName(guard).data(),
-                static_cast<unsigned long long>(seed), static_cast<unsigned long long>(tried), one.first.c_str());
+                static_cast<unsigned long long>(seed), static_cast<unsigned long long>(tried), result.first.c_str());
             return true;
         }
     }
@@ -90,9 +90,9 @@
     app.add_option("--guards", withoutGuards, "Whether to leave out each guard in turn.");
     CLI11_PARSE(app, argc, argv);
 
-    bool isGood = explore(firstSeed, seeds, nodes);
+    bool isPassed = explore(firstSeed, seeds, nodes);
     for (const Safeguard guard : AllSafeguards) {
-        isGood = (!withoutGuards || findWithout(guard, firstSeed, seeds, nodes)) && isGood;
+        isPassed = (!withoutGuards || findViolationWithout(guard, firstSeed, seeds, nodes)) && isPassed;
     }
-    return isGood ? 0 : 1;
+    return isPassed ? 0 : 1;
 }
--- a/bench/forward.cpp
+++ b/bench/forward.cpp
@@ -27,10 +27,10 @@
     exchange->finish();
 }
 
-class Run
+class LoadRun
 {
 public:
-    Run(HttpClient &client, std::uint16_t port)
+    LoadRun(HttpClient &client, std::uint16_t port)
         : m_client(client)
         , m_url("http://127.0.0.1:" + std::to_string(port) + "/v1/chat/completions")
     {
@@ -38,14 +38,14 @@
 
     std::vector<double> measure(int callers)
     {
-        m_left = callers * RequestsPerCaller;
-        m_toStart = m_left;
+        m_remaining = callers * RequestsPerCaller;
+        m_unstarted = m_remaining;
         for (int i = 0; i < callers; ++i) {
             startNext();
         }
         const absl::MutexLock lock(&m_mutex);
         m_mutex.Await(absl::Condition(
-            +[](Run *run) { return run->m_left == 0; }, this));
+            +[](LoadRun *loadRun) { return loadRun->m_remaining == 0; }, this));
         std::sort(m_micros.begin(), m_micros.end());
         return m_micros;
     }
@@ -59,22 +59,22 @@
     {
         {
             const absl::MutexLock lock(&m_mutex);
-            if (m_toStart-- <= 0) {
+            if (m_unstarted-- <= 0) {
                 return;
             }
         }
-        const auto begun = std::chrono::steady_clock::now();
+        const auto startTime = std::chrono::steady_clock::now();
         HttpCall call;
         call.method = "POST";
         call.url = m_url;
         call.body = R"({"model":"a","stream":true})";
-        call.onDone = [this, begun](const CallResult &result) {
-            const std::chrono::duration<double, std::micro> took = std::chrono::steady_clock::now() - begun;
+        call.onDone = [this, startTime](const CallResult &result) {
+            const std::chrono::duration<double, std::micro> latency = std::chrono::steady_clock::now() - startTime;
             {
                 const absl::MutexLock lock(&m_mutex);
-                m_micros.push_back(took.count());
+                m_micros.push_back(latency.count());
                 m_failed += result.state == AttemptState::Answered ? 0 : 1;
-                --m_left;
+                --m_remaining;
             }
             startNext();
         };
@@ -85,8 +85,8 @@
     std::string m_url;
     absl::Mutex m_mutex;
     std::vector<double> m_micros;
-    int m_left = 0;
-    int m_toStart = 0;
+    int m_remaining = 0;
+    int m_unstarted = 0;
     int m_failed = 0;
 };
 
@@ -101,23 +101,23 @@
 {
     NodeRpcSettings settings;
     settings.secret = "only for this bench";
-    const auto owner = std::move(NodeRpc::start(settings).value());
-    const auto front = std::move(NodeRpc::start(settings).value());
-    owner->serveForwards([](const HttpRequest &request, int, const std::shared_ptr<HttpExchange> &exchange) { serve(request, exchange); });
-    const std::string address = "127.0.0.1:" + std::to_string(owner->port());
-    const auto direct = std::move(HttpServer::start({}, serve).value());
-    const auto through = std::move(HttpServer::start({}, [&](const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) {
-        front->forward(address, request, 1, exchange, [exchange](const Error &) { exchange->respond(503, {}, ""); });
+    const auto ownerNode = std::move(NodeRpc::start(settings).value());
+    const auto entryNode = std::move(NodeRpc::start(settings).value());
+    ownerNode->serveForwards([](const HttpRequest &request, int, const std::shared_ptr<HttpExchange> &exchange) { serve(request, exchange); });
+    const std::string address = "127.0.0.1:" + std::to_string(ownerNode->port());
+    const auto directServer = std::move(HttpServer::start({}, serve).value());
+    const auto forwardingServer = std::move(HttpServer::start({}, [&](const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) {
+        entryNode->forward(address, request, 1, exchange, [exchange](const Error &) { exchange->respond(503, {}, ""); });
     }).value());
     HttpClient client;
     for (const int callers : { 1, 8, 64 }) {
-        Run plain(client, direct->port());
-        Run forwarded(client, through->port());
-        const auto a = plain.measure(callers);
-        const auto b = forwarded.measure(callers);
+        LoadRun directRun(client, directServer->port());
+        LoadRun forwardedRun(client, forwardingServer->port());
+        const auto directLatencies = directRun.measure(callers);
+        const auto forwardedLatencies = forwardedRun.measure(callers);
         std::printf("callers=%d direct p50=%.0f p99=%.0f us, forwarded p50=%.0f p99=%.0f us, ratio p50=%.2f p99=%.2f, added p50=%.0f us, "
                     "failed=%d\n",
-            callers, quantile(a, 0.5), quantile(a, 0.99), quantile(b, 0.5), quantile(b, 0.99), quantile(b, 0.5) / quantile(a, 0.5),
-            quantile(b, 0.99) / quantile(a, 0.99), quantile(b, 0.5) - quantile(a, 0.5), plain.failed() + forwarded.failed());
+            callers, quantile(directLatencies, 0.5), quantile(directLatencies, 0.99), quantile(forwardedLatencies, 0.5), quantile(forwardedLatencies, 0.99), quantile(forwardedLatencies, 0.5) / quantile(directLatencies, 0.5),
+            quantile(forwardedLatencies, 0.99) / quantile(directLatencies, 0.99), quantile(forwardedLatencies, 0.5) - quantile(directLatencies, 0.5), directRun.failed() + forwardedRun.failed());
     }
 }
--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -19,7 +19,7 @@
 constexpr double UdpHeaderBytes = 28;
 constexpr std::size_t Zones = 4;
 
-void grow(FakeFleet &fleet, std::size_t count)
+void addMembers(FakeFleet &fleet, std::size_t count)
 {
     for (std::size_t i = 0; i < count; ++i) {
         fleet.add("zone" + std::to_string(i % Zones));
@@ -43,7 +43,7 @@
 {
     FakeFleet fleet(seed);
     fleet.loss = 0.01;
-    grow(fleet, members);
+    addMembers(fleet, members);
     std::vector<double> first;
     std::vector<double> all;
     std::vector<double> last;
@@ -51,14 +51,14 @@
         const std::size_t victim = (static_cast<std::size_t>(i) * 7 + 1) % members;
         fleet.run(Duration(static_cast<std::int64_t>(i) * 37 % 500));
         fleet.nodes[victim].isUp = false;
-        const Time died = fleet.now();
-        std::vector<bool> isDone(members, false);
+        const Time stoppedAt = fleet.now();
+        std::vector<bool> hasObserved(members, false);
         std::vector<double> times;
         fleet.run(Duration::seconds(15), [&] {
-            for (std::size_t of = 0; of < members; ++of) {
-                if (of != victim && !isDone[of] && !fleet.sees(of, victim)) {
-                    isDone[of] = true;
-                    times.push_back((fleet.now() - died).toSeconds());
+            for (std::size_t observer = 0; observer < members; ++observer) {
+                if (observer != victim && !hasObserved[observer] && !fleet.sees(observer, victim)) {
+                    hasObserved[observer] = true;
+                    times.push_back((fleet.now() - stoppedAt).toSeconds());
                 }
             }
         });
@@ -80,7 +80,7 @@
 {
     FakeFleet fleet(seed);
     fleet.loss = 0.01;
-    grow(fleet, members);
+    addMembers(fleet, members);
     fleet.sizeOf = [](const MemberDatagram &datagram) { return encodeMemberDatagram(datagram, "a secret of the fleet").size(); };
     std::uint64_t suspicionsBefore = 0;
     std::uint64_t deathsBefore = 0;
@@ -102,15 +102,15 @@
         second = now;
         if (second % 8 == 0) {
             ++version;
-            for (std::size_t teller = 0; teller < 3; ++teller) {
-                fleet.handle(teller, AnnounceRumour { ConfigFact { NodeId(FakeFleet::name(teller)), ConfigVersion(version) } });
+            for (std::size_t announcer = 0; announcer < 3; ++announcer) {
+                fleet.handle(announcer, AnnounceRumour { ConfigFact { NodeId(FakeFleet::name(announcer)), ConfigVersion(version) } });
             }
         }
         if (second % 77 == 0) {
             fleet.handle(5, AnnounceRumour { LeavingFact { "engine" + std::to_string(second), Incarnation() } });
         }
     });
-    const double processor = std::chrono::duration<double>(std::chrono::steady_clock::now() - started).count();
+    const double cpuSeconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - started).count();
     std::uint64_t suspicions = 0;
     std::uint64_t deaths = 0;
     for (const auto &node : fleet.nodes) {
@@ -128,28 +128,28 @@
         members, minutes, static_cast<unsigned long long>(suspicions), nodeDays, static_cast<double>(suspicions) / nodeDays,
         (static_cast<double>(suspicions) + 2 * std::sqrt(static_cast<double>(suspicions)) + 3) / nodeDays,
         static_cast<unsigned long long>(deaths), static_cast<double>(fleet.datagrams) / nodeSeconds, sent, 2 * sent,
-        100 * processor / nodeSeconds);
+        100 * cpuSeconds / nodeSeconds);
 }
 
 // Time until the last node knows a fact that one node tells.
-void measureSpread(std::size_t members, int facts, std::uint64_t seed)
+void measurePropagation(std::size_t members, int facts, std::uint64_t seed)
 {
     FakeFleet fleet(seed);
     fleet.loss = 0.01;
-    grow(fleet, members);
+    addMembers(fleet, members);
     std::vector<double> all;
     std::vector<double> last;
     for (int i = 0; i < facts; ++i) {
         const std::string vm = "engine" + std::to_string(i);
         fleet.handle(static_cast<std::size_t>(i) % members, AnnounceRumour { LeavingFact { vm, Incarnation() } });
-        const Time told = fleet.now();
+        const Time announcedAt = fleet.now();
         std::vector<double> times;
-        std::vector<bool> isDone(members, false);
+        std::vector<bool> hasObserved(members, false);
         fleet.run(Duration::seconds(10), [&] {
-            for (std::size_t of = 0; of < members; ++of) {
-                if (!isDone[of] && fleet.nodes[of].membership->view()->leaving.contains(UpstreamId(vm))) {
-                    isDone[of] = true;
-                    times.push_back((fleet.now() - told).toSeconds());
+            for (std::size_t observer = 0; observer < members; ++observer) {
+                if (!hasObserved[observer] && fleet.nodes[observer].membership->view()->leaving.contains(UpstreamId(vm))) {
+                    hasObserved[observer] = true;
+                    times.push_back((fleet.now() - announcedAt).toSeconds());
                 }
             }
         });
@@ -172,7 +172,7 @@
     std::setvbuf(stdout, nullptr, _IOLBF, 0);
     const auto seed = static_cast<std::uint64_t>(argument(5, 1));
     measureDetection(members, static_cast<int>(argument(2, 30)), seed);
-    measureSpread(members, static_cast<int>(argument(3, 10)), seed);
+    measurePropagation(members, static_cast<int>(argument(3, 10)), seed);
     measureSteady(members, static_cast<int>(argument(4, 30)), seed);
     return 0;
 }
--- a/bench/path.cpp
+++ b/bench/path.cpp
@@ -31,7 +31,7 @@
     int failed = 0;
 };
 
-std::size_t swallow(char *, std::size_t, std::size_t count, void *)
+std::size_t discardBody(char *, std::size_t, std::size_t count, void *)
 {
     return count;
 }
@@ -50,12 +50,12 @@
     curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(easy, CURLOPT_HTTPHEADER, headers);
     curl_easy_setopt(easy, CURLOPT_POSTFIELDS, target.body.c_str());
-    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, &swallow);
+    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, &discardBody);
     while (Clock::now() < until) {
         const auto begin = Clock::now();
         long status = 0;
-        const bool isDone = curl_easy_perform(easy) == CURLE_OK && curl_easy_getinfo(easy, CURLINFO_RESPONSE_CODE, &status) == CURLE_OK;
-        if (!isDone || status != 200) {
+        const bool isAnswered = curl_easy_perform(easy) == CURLE_OK && curl_easy_getinfo(easy, CURLINFO_RESPONSE_CODE, &status) == CURLE_OK;
+        if (!isAnswered || status != 200) {
             ++failed;
             continue;
         }
@@ -72,15 +72,15 @@
     threads.reserve(times.size());
     std::atomic<int> failed { 0 };
     const auto until = Clock::now() + std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(seconds));
-    for (auto &mine : times) {
-        threads.emplace_back([&] { callLoop(target, until, mine, failed); });
+    for (auto &threadTimes : times) {
+        threads.emplace_back([&] { callLoop(target, until, threadTimes, failed); });
     }
     for (std::thread &thread : threads) {
         thread.join();
     }
     std::vector<double> all;
-    for (const auto &mine : times) {
-        all.insert(all.end(), mine.begin(), mine.end());
+    for (const auto &threadTimes : times) {
+        all.insert(all.end(), threadTimes.begin(), threadTimes.end());
     }
     std::sort(all.begin(), all.end());
     return { static_cast<double>(all.size()) / seconds, percentile(all, 0.5), percentile(all, 0.99), failed };
@@ -111,20 +111,20 @@
     curl_global_init(CURL_GLOBAL_ALL);
     std::printf("callers stream engine_rps node_rps rps_ratio added_p50_ms added_p99_ms failed\n");
     for (const bool isStream : { false, true }) {
-        const Target atEngine { "http://" + direct + "/v1/chat/completions", bodyFor(model, isStream) };
-        const Target atNode { "http://" + node + "/v1/chat/completions", bodyFor(model, isStream) };
+        const Target engineTarget { "http://" + direct + "/v1/chat/completions", bodyFor(model, isStream) };
+        const Target nodeTarget { "http://" + node + "/v1/chat/completions", bodyFor(model, isStream) };
         for (const int callers : { 1, 8, 64 }) {
-            std::vector<std::pair<Result, Result>> seen;
-            seen.reserve(static_cast<std::size_t>(rounds));
+            std::vector<std::pair<Result, Result>> roundResults;
+            roundResults.reserve(static_cast<std::size_t>(rounds));
             for (int i = 0; i < rounds; ++i) {
-                seen.emplace_back(measure(atEngine, callers, seconds), measure(atNode, callers, seconds));
+                roundResults.emplace_back(measure(engineTarget, callers, seconds), measure(nodeTarget, callers, seconds));
             }
-            std::sort(seen.begin(), seen.end(),
+            std::sort(roundResults.begin(), roundResults.end(),
                 [](const auto &a, const auto &b) { return a.second.p50Ms - a.first.p50Ms < b.second.p50Ms - b.first.p50Ms; });
-            const auto &[engine, through] = seen[seen.size() / 2];
+            const auto &[engine, viaNode] = roundResults[roundResults.size() / 2];
             std::printf("%d %s %.0f %.0f %.2f %.3f %.3f %d\n", callers, isStream ? "yes" : "no", engine.requestsPerSecond,
-                through.requestsPerSecond, through.requestsPerSecond / engine.requestsPerSecond, through.p50Ms - engine.p50Ms,
-                through.p99Ms - engine.p99Ms, engine.failed + through.failed);
+                viaNode.requestsPerSecond, viaNode.requestsPerSecond / engine.requestsPerSecond, viaNode.p50Ms - engine.p50Ms,
+                viaNode.p99Ms - engine.p99Ms, engine.failed + viaNode.failed);
         }
     }
     return 0;
--- a/bench/retries.cpp
+++ b/bench/retries.cpp
@@ -27,7 +27,7 @@
 constexpr double MeanServiceMs = 100;
 constexpr Duration CallerDeadline { 2000 };
 constexpr Duration AttemptTimeout { 400 };
-constexpr Duration Length = Duration::seconds(60);
+constexpr Duration SimulatedTime = Duration::seconds(60);
 
 struct Scenario
 {
@@ -49,11 +49,11 @@
     bool hasEjection = false;
 };
 
-struct Figures
+struct Metrics
 {
     double requests = 0;
     double attempts = 0;
-    double good = 0;
+    double successes = 0;
     double refused = 0;
     std::vector<double> latenciesMs;
 };
@@ -71,7 +71,7 @@
     int upstream = 0;
     Time sentAt;
     int inFlight = 0;
-    bool isOver = false;
+    bool isEnded = false;
 };
 
 struct Upstream
@@ -95,7 +95,7 @@
     Time at;
     std::uint64_t order = 0;
     EventKind kind = EventKind::Arrival;
-    std::size_t subject = 0;
+    std::size_t index = 0;
 
     bool operator>(const Event &other) const
     {
@@ -136,7 +136,7 @@
         m_outliers.setUpstreams(ids);
     }
 
-    Figures run()
+    Metrics run()
     {
         post(Time(1), EventKind::Arrival, 0);
         while (!m_events.empty()) {
@@ -145,9 +145,9 @@
             m_now = event.at;
             handle(event);
         }
-        m_figures.requests = static_cast<double>(m_requests.size());
-        m_figures.attempts = static_cast<double>(m_attempts.size());
-        return std::move(m_figures);
+        m_metrics.requests = static_cast<double>(m_requests.size());
+        m_metrics.attempts = static_cast<double>(m_attempts.size());
+        return std::move(m_metrics);
     }
 
 private:
@@ -155,9 +155,9 @@
     {
         return std::uniform_real_distribution<double>(0, 1)(m_random);
     }
-    void post(Time at, EventKind kind, std::size_t subject)
+    void post(Time at, EventKind kind, std::size_t index)
     {
-        m_events.push({ at, m_order++, kind, subject });
+        m_events.push({ at, m_order++, kind, index });
     }
     void handle(const Event &event)
     {
@@ -166,13 +166,13 @@
             arrive();
             break;
         case EventKind::Sent:
-            send(event.subject);
+            send(event.index);
             break;
         case EventKind::WorkDone:
-            workDone(event.subject);
+            workDone(event.index);
             break;
         case EventKind::TimedOut:
-            over(event.subject, ErrorKind::UpstreamTimeout, AttemptPhase::Unknown);
+            failAttempt(event.index, ErrorKind::UpstreamTimeout, AttemptPhase::Unknown);
             break;
         }
     }
@@ -181,15 +181,15 @@
     {
         m_requests.push_back({ m_now });
         send(m_requests.size() - 1);
-        const double perMs = m_scenario.load * UpstreamCount * Batch / MeanServiceMs;
-        m_nextArrivalMs += std::exponential_distribution<double>(perMs)(m_random);
+        const double arrivalsPerMs = m_scenario.load * UpstreamCount * Batch / MeanServiceMs;
+        m_nextArrivalMs += std::exponential_distribution<double>(arrivalsPerMs)(m_random);
         const Time next(1 + static_cast<std::int64_t>(m_nextArrivalMs));
-        if (next < Time(0) + Length) {
+        if (next < Time(0) + SimulatedTime) {
             post(next, EventKind::Arrival, 0);
         }
     }
 
-    bool isOpen(int upstream)
+    bool isAvailable(int upstream)
     {
         const Upstream &at = m_upstreams[static_cast<std::size_t>(upstream)];
         if (m_variant.hasLimit && at.inFlight >= at.limit.limit()) {
@@ -199,21 +199,21 @@
     }
 
     // A random order stands for the candidate lists of many adapters.
-    int pick(int last)
+    int pickUpstream(int last)
     {
         std::array<int, UpstreamCount> order;
         std::iota(order.begin(), order.end(), 0);
         std::shuffle(order.begin(), order.end(), m_random);
-        const auto open = std::find_if(order.begin(), order.end(), [&](int upstream) { return upstream != last && isOpen(upstream); });
-        return open == order.end() ? -1 : *open;
+        const auto available = std::find_if(order.begin(), order.end(), [&](int upstream) { return upstream != last && isAvailable(upstream); });
+        return available == order.end() ? -1 : *available;
     }
 
     void send(std::size_t number)
     {
         Request &request = m_requests[number];
-        const int upstream = pick(request.lastUpstream);
+        const int upstream = pickUpstream(request.lastUpstream);
         if (upstream < 0) {
-            m_figures.refused += 1;
+            m_metrics.refused += 1;
             return;
         }
         ++request.attempts;
@@ -225,7 +225,7 @@
         const Time deadline = request.arrival + CallerDeadline;
         post(std::min(m_now + AttemptTimeout, deadline), EventKind::TimedOut, attempt);
         at.waiting.push_back(attempt);
-        work(at, upstream);
+        startWork(at, upstream);
     }
 
     double slowdown(int upstream) const
@@ -235,14 +235,14 @@
     }
 
     // The upstream works on what it was sent, abandoned or not: it does not know that nobody waits any more.
-    void work(Upstream &at, int upstream)
+    void startWork(Upstream &at, int upstream)
     {
         while (at.running < Batch && !at.waiting.empty()) {
             const std::size_t attempt = at.waiting.front();
             at.waiting.pop_front();
             ++at.running;
-            const double took = std::gamma_distribution<double>(4, MeanServiceMs / 4)(m_random) * slowdown(upstream);
-            post(m_now + Duration(std::max<std::int64_t>(1, std::llround(took))), EventKind::WorkDone, attempt);
+            const double serviceMs = std::gamma_distribution<double>(4, MeanServiceMs / 4)(m_random) * slowdown(upstream);
+            post(m_now + Duration(std::max<std::int64_t>(1, std::llround(serviceMs))), EventKind::WorkDone, attempt);
         }
     }
 
@@ -251,45 +251,45 @@
         const int upstream = m_attempts[number].upstream;
         Upstream &at = m_upstreams[static_cast<std::size_t>(upstream)];
         --at.running;
-        if (!m_attempts[number].isOver) {
+        if (!m_attempts[number].isEnded) {
             if (chance() < m_scenario.failing) {
-                over(number, ErrorKind::UpstreamFailed, AttemptPhase::Unknown);
+                failAttempt(number, ErrorKind::UpstreamFailed, AttemptPhase::Unknown);
             } else {
                 succeed(number);
             }
         }
-        work(at, upstream);
+        startWork(at, upstream);
     }
 
     void succeed(std::size_t number)
     {
         Attempt &attempt = m_attempts[number];
-        attempt.isOver = true;
+        attempt.isEnded = true;
         Upstream &at = m_upstreams[static_cast<std::size_t>(attempt.upstream)];
         --at.inFlight;
         at.limit.onSample(m_now - attempt.sentAt, attempt.inFlight, m_now);
         m_outliers.onSuccess(idOf(attempt.upstream), m_now);
         m_budget.onSuccess(m_now);
-        m_figures.good += 1;
-        m_figures.latenciesMs.push_back(static_cast<double>((m_now - m_requests[attempt.request].arrival).milliseconds()));
+        m_metrics.successes += 1;
+        m_metrics.latenciesMs.push_back(static_cast<double>((m_now - m_requests[attempt.request].arrival).milliseconds()));
     }
 
-    void over(std::size_t number, ErrorKind kind, AttemptPhase phase)
+    void failAttempt(std::size_t number, ErrorKind kind, AttemptPhase phase)
     {
         Attempt &attempt = m_attempts[number];
-        if (attempt.isOver) {
+        if (attempt.isEnded) {
             return;
         }
-        attempt.isOver = true;
+        attempt.isEnded = true;
         Upstream &at = m_upstreams[static_cast<std::size_t>(attempt.upstream)];
         --at.inFlight;
         at.limit.onDropped(m_now);
         m_outliers.onFailure(idOf(attempt.upstream), m_now);
         const Request &request = m_requests[attempt.request];
-        const RetryContext facts { Idempotency::Idempotent, false, request.attempts, request.arrival + CallerDeadline, true };
-        const RetryDecision decision = decideRetry({ phase, kind }, facts, m_retries, m_budget, m_random, m_now);
-        if (const auto *again = std::get_if<TryAgain>(&decision)) {
-            post(m_now + again->delay, EventKind::Sent, attempt.request);
+        const RetryContext context { Idempotency::Idempotent, false, request.attempts, request.arrival + CallerDeadline, true };
+        const RetryDecision decision = decideRetry({ phase, kind }, context, m_retries, m_budget, m_random, m_now);
+        if (const auto *retry = std::get_if<TryAgain>(&decision)) {
+            post(m_now + retry->delay, EventKind::Sent, attempt.request);
         }
     }
 
@@ -306,36 +306,36 @@
     std::uint64_t m_order = 0;
     double m_nextArrivalMs = 0;
     Time m_now;
-    Figures m_figures;
+    Metrics m_metrics;
 };
 
-double percentile(std::vector<double> values, double part)
+double percentile(std::vector<double> values, double fraction)
 {
     if (values.empty()) {
         return 0;
     }
-    const auto at = values.begin() + static_cast<long>(part * static_cast<double>(values.size() - 1));
+    const auto at = values.begin() + static_cast<long>(fraction * static_cast<double>(values.size() - 1));
     std::nth_element(values.begin(), at, values.end());
     return *at;
 }
 
-void print(const Scenario &scenario, const Variant &variant, const char *figure, double value, const char *unit)
+void print(const Scenario &scenario, const Variant &variant, const char *metric, double value, const char *unit)
 {
-    std::printf("%s.%s.%s %.3f %s\n", scenario.name.c_str(), variant.name.c_str(), figure, value, unit);
+    std::printf("%s.%s.%s %.3f %s\n", scenario.name.c_str(), variant.name.c_str(), metric, value, unit);
 }
 
 void measure(const Scenario &scenario, const Variant &variant, int seeds)
 {
-    Figures all;
+    Metrics all;
     for (int seed = 1; seed <= seeds; ++seed) {
-        const Figures one = Simulation(scenario, variant, static_cast<std::uint64_t>(seed)).run();
-        all.requests += one.requests;
-        all.attempts += one.attempts;
-        all.good += one.good;
-        all.refused += one.refused;
-        all.latenciesMs.insert(all.latenciesMs.end(), one.latenciesMs.begin(), one.latenciesMs.end());
+        const Metrics result = Simulation(scenario, variant, static_cast<std::uint64_t>(seed)).run();
+        all.requests += result.requests;
+        all.attempts += result.attempts;
+        all.successes += result.successes;
+        all.refused += result.refused;
+        all.latenciesMs.insert(all.latenciesMs.end(), result.latenciesMs.begin(), result.latenciesMs.end());
     }
-    print(scenario, variant, "goodput", all.good / all.requests, "share");
+    print(scenario, variant, "goodput", all.successes / all.requests, "share");
     print(scenario, variant, "load", all.attempts / all.requests, "attempts/request");
     print(scenario, variant, "refused", all.refused / all.requests, "share");
     print(scenario, variant, "p95", percentile(all.latenciesMs, 0.95), "ms");
@@ -361,17 +361,17 @@
     // The base rate of failures is a tenth of all attempts.
     const std::vector<Scenario> failing { { "failures-1x", 0.7, 0.1 }, { "failures-2x", 0.7, 0.2 }, { "failures-5x", 0.7, 0.5 },
         { "failures-5x-busy", 0.9, 0.5 } };
-    const std::vector<Variant> retrying { { "no-retries", 1 }, { "three-attempts", 3 }, { "budget", 3, true } };
+    const std::vector<Variant> retryVariants { { "no-retries", 1 }, { "three-attempts", 3 }, { "budget", 3, true } };
     for (const Scenario &scenario : failing) {
-        for (const Variant &variant : retrying) {
+        for (const Variant &variant : retryVariants) {
             measure(scenario, variant, seeds);
         }
     }
-    const std::vector<Scenario> slow { { "slow-5x", 0.7, 0, 5 }, { "slow-20x", 0.7, 0, 20 }, { "overload-1.3x", 1.3 } };
-    const std::vector<Variant> containing { { "budget", 3, true }, { "limit", 3, true, true }, { "ejection", 3, true, false, true },
+    const std::vector<Scenario> slowScenarios { { "slow-5x", 0.7, 0, 5 }, { "slow-20x", 0.7, 0, 20 }, { "overload-1.3x", 1.3 } };
+    const std::vector<Variant> containmentVariants { { "budget", 3, true }, { "limit", 3, true, true }, { "ejection", 3, true, false, true },
         { "both", 3, true, true, true } };
-    for (const Scenario &scenario : slow) {
-        for (const Variant &variant : containing) {
+    for (const Scenario &scenario : slowScenarios) {
+        for (const Variant &variant : containmentVariants) {
             measure(scenario, variant, seeds);
         }
     }
