--- a/bench/catalog.cpp
+++ b/bench/catalog.cpp
@@ -1,4 +1,4 @@
-// Memory of a catalog, time to resolve a selector and to apply a change, at 3,000 and 130,000 adapters.
+// Measures the memory of a catalog and the time to resolve a selector and to apply a change, with 3,000 and 130,000 adapters.
 
 #include "state/catalog.h"
 
@@ -80,8 +80,9 @@
         catalog = catalog->apply(delta).value();
     }
     measurement.apply = microsecondsSince(start) / ChangeCount;
-    std::printf("%7d adapters: %6.1f B an adapter, resolve by name %5.2f us, by two labels %5.2f us, apply a change %6.1f us (%zu found)\n",
-        count, measurement.bytesPerAdapter, measurement.resolveByName, measurement.resolveByLabels, measurement.apply, found);
+    std::printf(
+        "%7d adapters: %6.1f B per adapter, resolve by name %5.2f us, by two labels %5.2f us, apply a change %6.1f us (%zu found)\n", count,
+        measurement.bytesPerAdapter, measurement.resolveByName, measurement.resolveByLabels, measurement.apply, found);
     return measurement;
 }
 
@@ -92,7 +93,7 @@
     const Measurement small = measure(SmallCount);
     const Measurement large = measure(LargeCount);
     constexpr double Growth = static_cast<double>(LargeCount) / SmallCount;
-    std::printf("catalog x%.1f: resolve by name x%.2f, by labels x%.2f, apply x%.2f (%.2f us more a 1,000 adapters)\n", Growth,
+    std::printf("catalog x%.1f: resolve by name x%.2f, by labels x%.2f, apply x%.2f (%.2f us more per 1,000 adapters)\n", Growth,
         large.resolveByName / small.resolveByName, large.resolveByLabels / small.resolveByLabels, large.apply / small.apply,
         (large.apply - small.apply) / (LargeCount - SmallCount) * 1000);
     return 0;
--- a/bench/configspread.cpp
+++ b/bench/configspread.cpp
@@ -1,5 +1,6 @@
-// How fast a configuration change is in force on all nodes, what it costs a node, and how many calls the service sees, in virtual time.
-// The nodes run the real ConfigSync; service, peers and rumours are the fakes of tests/coordination/configworld.h.
+// Measures in virtual time how fast a configuration change takes effect on all nodes, how many bytes it costs per node, and how many calls
+// the configuration service receives. The nodes run the real ConfigSync; the service, the peers and the rumours are the fakes of
+// tests/coordination/configtestcluster.h.
 
 #include "tests/coordination/configtestcluster.h"
 
@@ -11,7 +12,7 @@
 {
 
 constexpr int ChangeCount = 30;
-// 11,000 changes a day.
+// 11,000 changes per day.
 constexpr Duration ChangeInterval { 7'900 };
 constexpr Duration Start = Duration::seconds(20);
 
@@ -59,7 +60,7 @@
 
 void print(const char *label, int nodes, const Outcome &outcome)
 {
-    std::printf("%-34s %4d nodes: in force p50 %5.2f s, p99 %5.2f s, last %5.2f s; a change and node %4.0f B (most %5.0f B); "
+    std::printf("%-34s %4d nodes: in effect p50 %5.2f s, p99 %5.2f s, last %5.2f s; per change and node %4.0f B (max %5.0f B); "
                 "service calls %6.1f/s\n",
         label, nodes, percentile(outcome.delays, 0.5), percentile(outcome.delays, 0.99), outcome.delays.back(), outcome.meanBytes,
         outcome.maxBytes, outcome.callsPerSecond);
--- a/bench/decisioncost.cpp
+++ b/bench/decisioncost.cpp
@@ -1,4 +1,5 @@
-// What one decision costs: events of one engine among 30 on a node, with adapters drawn from the whole catalog.
+// Measures the time of one scheduling decision: an event of one of the engines of a node (3 to 30), with adapters drawn from the whole
+// catalog.
 
 #include "coordination/upstreamscheduler.h"
 
@@ -15,7 +16,8 @@
 
 using namespace ApricotStep;
 
-// Arrivals, orders and ends as a node meets them, over all its engines: each step is one event and the actions that it leads to.
+// Simulates the events of a node over all its engines: arrivals, finished loads and evictions, and finished requests. Each step handles one
+// event; the actions that it returns queue the events that report their completion.
 class Node
 {
 public:
@@ -70,7 +72,7 @@
 
     WorkItem makeItem()
     {
-        // Zipf of exponent 1 by inversion of its continuous form.
+        // Zipf distribution with exponent 1, by inverting its continuous approximation.
         const double unit = std::uniform_real_distribution<double>(0, 1)(m_random);
         const auto rank = static_cast<std::size_t>(std::exp(unit * std::log(static_cast<double>(m_adapters.size())))) - 1;
         WorkItem work;
@@ -118,7 +120,7 @@
     }
     state.counters["waiting"] = node.waiting();
 }
-// Engines, adapters, waiting requests an engine at most.
+// Engines, adapters, maximum of waiting requests per engine.
 BENCHMARK(decision)
     ->ArgNames({ "engines", "adapters", "waiting" })
     ->Args({ 30, 130'000, 100 })
--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -1,5 +1,5 @@
-// Runs the decisions of coordination/ under virtual time against small fakes, beside the policies that a user would build first and the
-// bounds that no policy passes. Prints one line a figure: name value unit.
+// Runs the scheduling and placement of coordination/ in virtual time against simulated engines and a simulated weight store, and compares
+// them with simple baseline policies and with theoretical bounds. Prints one line per metric: name value unit.
 
 #include "bench/decisions/metrics.h"
 
@@ -33,7 +33,7 @@
 
 constexpr Policy Baselines[] = { Policy::RandomLru, Policy::LeastLoadedLru, Policy::HashLru, Policy::Fifo };
 
-/** Figures of all policies under one seed, named policy.figure, and the ratios between them. */
+/** Returns the metrics of all policies for one seed, named policy.metric, and the ratios between them. */
 Metrics runSeed(const Deployment &deployment, Scenario scenario, StoreModel storeModel, std::uint64_t seed)
 {
     Metrics all;
@@ -56,7 +56,7 @@
         double best = isLowerBetter ? 1e18 : 0;
         for (const Policy policy : Baselines) {
             const double value = byPolicy[policy].at(name).value;
-            // A policy that served nothing which had to wait has no wait to compare with.
+            // A value of 0 means that the policy served no request that had to wait, so there is nothing to compare with.
             if (isLowerBetter && value <= 0) {
                 continue;
             }
@@ -106,7 +106,7 @@
         std::string fullName = prefix;
         fullName.append(".").append(name);
         std::printf("%s %.4g %s\n", fullName.c_str(), percentile(values, 0.5), first.unit.c_str());
-        // Promises are judged seed by seed, so the worst ones are shown too.
+        // Targets must hold for every seed, so the extremes are printed too.
         const bool isCount = first.unit == "requests" || first.unit == "evictions";
         if (options.seeds > 1 && (name.starts_with("ratio.") || (isCount && name.starts_with("ours.")))) {
             std::printf("%s.min %.4g %s\n", fullName.c_str(), percentile(values, 0.0), first.unit.c_str());
@@ -146,17 +146,17 @@
     for (std::size_t index = 0; index < ScenarioCount; ++index) {
         scenarios.insert(std::string(scenarioName(static_cast<Scenario>(index))));
     }
-    CLI::App app("Measures the decisions under load; prints one line a figure: name value unit. Figures of several seeds are medians.");
+    CLI::App app("Measures scheduling decisions under load. Prints one line per metric: name value unit; with several seeds, the median.");
     app.add_option("--seed", options.seed, "First seed");
-    app.add_option("--seeds", options.seeds, "How many seeds")->check(CLI::Range(1, 1000));
+    app.add_option("--seeds", options.seeds, "Number of seeds")->check(CLI::Range(1, 1000));
     app.add_option("--deployment", options.deployment)->check(CLI::IsMember({ "kumasi", "ksiegowo" }));
     app.add_option("--scenario", options.scenario)->check(CLI::IsMember(scenarios));
-    app.add_option("--store", options.store, "Reading of the store's limit")->check(CLI::IsMember({ "rate", "parallel" }));
-    app.add_option("--threads", options.threads, "Seeds that run at once")->check(CLI::Range(1, 64));
-    app.add_option("--offered", options.offeredRate, "Requests a second in place of the deployment's own");
+    app.add_option("--store", options.store, "Model of the weight store's capacity limit")->check(CLI::IsMember({ "rate", "parallel" }));
+    app.add_option("--threads", options.threads, "Number of seeds to run in parallel")->check(CLI::Range(1, 64));
+    app.add_option("--offered", options.offeredRate, "Requests per second, overrides the deployment's value");
     app.add_option("--stall-weight", options.stallWeight);
     app.add_option("--batch-weight", options.batchWeight);
-    app.add_option("--urgent-slots", options.urgentSlots, "Percent of the slots left to urgent work");
+    app.add_option("--urgent-slots", options.urgentSlots, "Percentage of slots reserved for urgent requests");
     CLI11_PARSE(app, argc, argv);
 
     Deployment deployment = options.deployment == "kumasi" ? kumasi() : ksiegowo();
--- a/bench/decisions/baseline.cpp
+++ b/bench/decisions/baseline.cpp
@@ -149,9 +149,11 @@
 std::vector<SchedulerAction> BaselineScheduler::handle(const SchedulerEvent &event, Time now)
 {
     m_actions.clear();
-    std::visit(Overloaded { [&](const WorkArrived &concreteEvent) { on(concreteEvent); }, [&](const WorkFinished &concreteEvent) { on(concreteEvent, now); },
-                   [&](const LoadFinished &concreteEvent) { on(concreteEvent, now); }, [&](const EvictFinished &concreteEvent) { on(concreteEvent); },
-                   [&](const UpstreamRestarted &) { onRestart(); }, [](const auto &) {} },
+    std::visit(Overloaded { [&](const WorkArrived &concreteEvent) { on(concreteEvent); },
+                   [&](const WorkFinished &concreteEvent) { on(concreteEvent, now); },
+                   [&](const LoadFinished &concreteEvent) { on(concreteEvent, now); },
+                   [&](const EvictFinished &concreteEvent) { on(concreteEvent); }, [&](const UpstreamRestarted &) { onRestart(); },
+                   [](const auto &) {} },
         event);
     refuseExpired(now);
     dispatch(now);
--- a/bench/decisions/baseline.h
+++ b/bench/decisions/baseline.h
@@ -9,13 +9,15 @@
 {
 
 /**
- * What a user would build first for one engine: a queue, and the adapter that was used longest ago goes. What waits for the same adapter
- * shares its load; an adapter in use stays; a request past its deadline is refused. It takes the same events as UpstreamScheduler.
+ * A simple scheduler for one engine to compare with: one queue and eviction of the least recently used adapter.
+ * Requests that wait for the same adapter share its load, an adapter in use is not evicted, and a request past its deadline is refused.
+ * Handles the same events as UpstreamScheduler.
  */
 class BaselineScheduler
 {
 public:
-    /** @p isFifo: strictly in the order of arrival, so that the first in the queue holds up the rest. Else in order of class. */
+    /** With @p isFifo, requests run strictly in order of arrival, so the first in the queue blocks the rest; otherwise in order of class.
+     */
     BaselineScheduler(const ApricotStep::SchedulerLimits &limits, bool isFifo)
         : m_limits(limits)
         , m_isFifo(isFifo)
--- a/bench/decisions/fakes.cpp
+++ b/bench/decisions/fakes.cpp
@@ -46,7 +46,7 @@
     m_loop.at(startTime + TransferTime, std::move(done));
 }
 
-// Brings the transfers forward to now and sets the time at which the next one ends.
+// Advances the transfers to the current time and schedules the end of the next one.
 void WeightStore::advanceTransfers()
 {
     const double speed = std::min(1.0, FullSpeedTransfers / std::max<double>(1.0, static_cast<double>(m_transfers.size())));
@@ -160,7 +160,7 @@
     std::vector<std::uint64_t> first;
     std::vector<std::uint64_t> done;
     for (Running &running : m_running) {
-        // What came during the step joins with the next.
+        // Requests that arrived during this step join the batch with the next one.
         if (!running.isInBatch) {
             continue;
         }
--- a/bench/decisions/fakes.h
+++ b/bench/decisions/fakes.h
@@ -12,7 +12,7 @@
 namespace DecisionBench
 {
 
-/** Runs what is due in the order of virtual time. */
+/** Runs callbacks in order of virtual time; callbacks due at the same time run in the order in which they were added. */
 class EventLoop
 {
 public:
@@ -46,15 +46,15 @@
     std::uint64_t m_count = 0;
 };
 
-/** How the brief's sentence on the weight store is read. */
+/** How the capacity limit of the weight store is modelled. */
 enum class StoreModel {
-    /** Two loads a second overall, in the order of arrival; each takes a quarter second once it is its turn. */
+    /** Starts two fetches per second for all engines together, in order of arrival; each then takes 250 ms. */
     Rate,
-    /** A quarter second while no more than 8 are in flight, proportionally longer beyond. */
+    /** A fetch takes 250 ms while at most 8 are in flight, and proportionally longer with more. */
     Parallel,
 };
 
-/** The weight store, which all engines load from. */
+/** The weight store from which all engines fetch adapters. */
 class WeightStore
 {
 public:
@@ -87,24 +87,25 @@
     std::uint64_t m_generation = 0;
 };
 
-/** An engine that batches continuously: each step gives every running request one token. */
+/** An engine with continuous batching: each step generates one token for every request in the batch. */
 class FakeEngine
 {
 public:
     struct Callbacks
     {
         std::function<void(std::uint64_t request)> onFirstToken;
-        /** @p isComplete is false when a restart cut the request off. */
+        /** @p isComplete is false if a restart interrupted the request. */
         std::function<void(std::uint64_t request, bool isComplete)> onDone;
         std::function<void(int adapter, bool isLoaded)> onLoaded;
     };
 
     FakeEngine(EventLoop &loop, WeightStore &store, const Deployment &deployment, Callbacks callbacks);
 
-    /** False when the adapter is not loaded: then it did not run. */
+    /** Returns false without running the request if the adapter is not loaded. */
     bool submit(std::uint64_t request, int adapter, int tokens);
     void load(int adapter, bool willFail);
-    /** False when it holds no such adapter or a request runs on it, which must not be asked for. */
+    /** Returns whether the adapter was loaded. Unloading an adapter that requests run on is a scheduler error, counted in evictedInUse().
+     */
     bool unload(int adapter);
     void restart();
     void setSlowdown(double factor)
@@ -115,7 +116,7 @@
     {
         return m_loadedAt.contains(adapter);
     }
-    /** When the adapter was loaded; only valid when it is held. */
+    /** Returns when the load of the adapter finished. The adapter must be loaded. */
     Micros loadedAt(int adapter) const
     {
         return m_loadedAt.at(adapter);
@@ -132,7 +133,7 @@
     {
         return m_stepTokens;
     }
-    /** Steps are counted from here on. */
+    /** Resets the step counters, to exclude the warm-up. */
     void resetSteps()
     {
         m_steps = 0;
--- a/bench/decisions/metrics.cpp
+++ b/bench/decisions/metrics.cpp
@@ -37,7 +37,7 @@
 struct ClassTally
 {
     std::vector<double> stalls;
-    // Refused requests count with their whole allowance, so that refusing does not make stalls look short.
+    // Refused and lost requests count with their whole allowance, so that refusing requests does not improve the percentiles.
     std::vector<double> stallsWithRefused;
     std::vector<double> firstTokenTimes;
     int arrived = 0;
@@ -91,7 +91,7 @@
     metrics[name + ".lost"] = { static_cast<double>(tally.lost), "requests" };
 }
 
-// Jain's index over the parts of their requests that callers had answered in time.
+// Jain's fairness index over the share of each caller's requests that was answered in time.
 double fairness(const RunResult &result)
 {
     std::unordered_map<int, std::pair<int, int>> callers;
--- a/bench/decisions/run.cpp
+++ b/bench/decisions/run.cpp
@@ -26,7 +26,7 @@
 constexpr Micros TickInterval = 50 * Millisecond;
 constexpr Micros OrderDelay = 2 * Millisecond;
 constexpr Micros MessageDelay = Millisecond;
-// After the last arrival the run goes on until the most patient request has its answer.
+// Time after the last arrival in which the requests with the longest deadlines can still be answered.
 constexpr Micros DrainTime = 2400 * Second;
 constexpr double LoadFailureRate = 0.1;
 constexpr double Slowdown = 4;
--- a/bench/decisions/run.h
+++ b/bench/decisions/run.h
@@ -11,7 +11,7 @@
 {
 
 enum class Policy {
-    /** The modules of coordination/. */
+    /** The modules of coordination/: scheduler, placement, replica choice and load permits. */
     Ours,
     RandomLru,
     LeastLoadedLru,
@@ -21,17 +21,17 @@
 inline constexpr std::size_t PolicyCount = 5;
 std::string_view policyName(Policy policy);
 
-/** What a caller received for one request. */
+/** The result of one request as its caller sees it. */
 struct Outcome
 {
-    /** From arrival until its adapter was loaded; only valid when dispatched. */
+    /** Time from arrival until the adapter was loaded, 0 if it already was; only valid for a dispatched request. */
     Micros stall = 0;
     Micros firstTokenAt = -1;
     bool isDispatched = false;
     bool isComplete = false;
-    /** A restart of the engine cut the answer off, and the caller was told. */
+    /** An engine restart interrupted the answer, and the caller got an error. */
     bool isInterrupted = false;
-    /** Told that it was not run. */
+    /** The caller was told that the request did not run. */
     bool isRefused = false;
 };
 
@@ -39,7 +39,7 @@
 {
     std::vector<Arrival> arrivals;
     std::vector<Outcome> outcomes;
-    /** Of the judged time. */
+    /** Counted from WarmUp to ArrivalsEnd only. */
     std::int64_t steps = 0;
     std::int64_t stepTokens = 0;
     int loads = 0;
--- a/bench/decisions/workload.cpp
+++ b/bench/decisions/workload.cpp
@@ -14,7 +14,7 @@
 
 using ApricotStep::Priority;
 
-constexpr double HotCallerFactor = 19; // On top of its own share: twenty times in all.
+constexpr double HotCallerFactor = 19; // In addition to its regular share, so 20 times in total.
 constexpr double HotAdapterShare = 0.3;
 constexpr double LongShare = 0.05;
 constexpr int LongTokens = 4000;
@@ -48,7 +48,7 @@
     {
         return m_adapterOfRank.front();
     }
-    /** The most popular become rare, and rare ones take their places. */
+    /** Swaps each of the most popular adapters with a randomly chosen rarer one. */
     void shift(std::mt19937_64 &random)
     {
         std::uniform_int_distribution<std::size_t> rareRank(ShiftedRanks, m_adapterOfRank.size() - 1);
@@ -72,7 +72,7 @@
     case Scenario::Overload5:
         return deployment.capacity * 5;
     case Scenario::Burst:
-        // The mean stays as in steady.
+        // The mean rate equals that of the steady scenario.
         return deployment.offeredRate * (at % BurstEvery < BurstLength ? BurstFactor : 0.4);
     default:
         return deployment.offeredRate;
@@ -125,9 +125,10 @@
     return Names[static_cast<std::size_t>(scenario)];
 }
 
-// Allowances of urgent and standard requests are the defaults of [deadlines]; patient ones are shorter, so that a run of 12 minutes
-// can show a deadline that is missed.
-// Half of the Training House's requests are schedule lookups and kitchen questions, a third lesson reviews, the rest assessments.
+// The allowances of urgent and standard requests are the defaults of [deadlines]. Those of patient requests are shorter than the default,
+// so that a run of 12 minutes can show missed deadlines.
+// Mix of a training provider: half of the requests are schedule lookups and kitchen questions, about a third lesson reviews, the rest
+// assessments.
 Deployment kumasi()
 {
     Deployment deployment;
@@ -140,7 +141,7 @@
     return deployment;
 }
 
-// Half of Księgowo's requests are summaries of a month of documents, a quarter drafts, a quarter short questions.
+// Mix of an accounting office: half of the requests are summaries of a month of documents, a quarter drafts, a quarter short questions.
 Deployment ksiegowo()
 {
     Deployment deployment;
@@ -170,7 +171,7 @@
         arrivals.push_back(drawArrival(deployment, scenario, popularity, at, random));
     }
     if (scenario == Scenario::HotCaller) {
-        // Drawn apart, so that the other callers' requests are the same as in steady.
+        // Uses a separate random generator, so that the requests of the other callers are the same as in the steady scenario.
         std::mt19937_64 hotRandom(seed + 1'000'003);
         const double rate = deployment.offeredRate / deployment.callers * HotCallerFactor;
         for (Micros at = WarmUp; at < ArrivalsEnd;) {
--- a/bench/decisions/workload.h
+++ b/bench/decisions/workload.h
@@ -10,7 +10,7 @@
 namespace DecisionBench
 {
 
-/** Virtual time in microseconds, since a step of an engine is not a whole number of milliseconds. */
+/** Virtual time in microseconds, because an engine step is not a whole number of milliseconds. */
 using Micros = std::int64_t;
 inline constexpr Micros Second = 1'000'000;
 inline constexpr Micros Millisecond = 1'000;
@@ -32,18 +32,18 @@
 inline constexpr std::size_t ScenarioCount = 12;
 std::string_view scenarioName(Scenario scenario);
 
-/** How one class of requests looks. */
+/** The request mix of one priority class. */
 struct ClassProfile
 {
-    /** Part of all requests, 0 to 1. */
+    /** Share of all requests, 0 to 1. */
     double share = 0;
     int minTokens = 1;
     int maxTokens = 1;
-    /** Allowance to the first token. */
+    /** Allowed time from arrival to the first token. */
     Micros allowance = 0;
 };
 
-/** The sizes of one user's deployment. */
+/** Size and load of one deployment. */
 struct Deployment
 {
     std::string_view name;
@@ -53,15 +53,18 @@
     int adapters = 3000;
     int callers = 200;
     double zipf = 1.0;
-    /** Requests a second that the loads sustain one by one at this skew: store rate / misses of keeping the most popular. */
+    /**
+     * Requests per second that adapter loads can sustain at this popularity skew if requests run one at a time: the store's load rate
+     * divided by the miss ratio when the most popular adapters stay loaded.
+     */
     double capacity = 4.5;
-    /** Offered in the scenarios that are not overload. */
+    /** Requests per second in the scenarios without overload. */
     double offeredRate = 4.0;
     ClassProfile classes[ApricotStep::PriorityCount];
     int stallWeight = 50;
     int batchWeight = 50;
     int urgentSlotsPercent = 25;
-    /** A step of the engine: base + perRequest for each that runs, and prefill for each that joins. */
+    /** An engine step takes stepBase, plus stepPerRequest for each request in the batch, plus prefill for each that joins it. */
     Micros stepBase = 25 * Millisecond;
     Micros stepPerRequest = Millisecond;
     Micros prefill = 30 * Millisecond;
@@ -80,11 +83,11 @@
 };
 
 inline constexpr int HotCaller = 0;
-/** Arrivals before this are served but not judged: all engines start empty. */
+/** Arrivals before this time are served but not measured, because all engines start without adapters. */
 inline constexpr Micros WarmUp = 120 * Second;
 inline constexpr Micros ArrivalsEnd = 720 * Second;
 
-/** The arrivals of one run, in order of time. The same seed gives the same ones to each policy. */
+/** Returns the arrivals of one run in order of time. With the same seed, every policy gets the same arrivals. */
 std::vector<Arrival> makeArrivals(const Deployment &deployment, Scenario scenario, std::uint64_t seed);
 
 } // namespace DecisionBench
--- a/bench/explore.cpp
+++ b/bench/explore.cpp
@@ -4,8 +4,8 @@
 
 #include <cstdio>
 
-// Explores histories of a small fleet from seeds and counts violations of the eight promises; then leaves out each guard in turn and
-// prints the seed that shows what the guard is for.
+// Explores seeded histories of a small fleet under faults and counts violations of the eight invariants. Then disables one safeguard at a
+// time and prints the first seed whose history violates an invariant without it.
 
 using namespace Fakes;
 
@@ -34,7 +34,7 @@
     sum.fenced += result.fenced;
 }
 
-// Returns whether no promise was broken.
+// Returns whether no invariant was violated.
 bool explore(std::uint64_t firstSeed, std::uint64_t count, int nodes)
 {
     HistoryResult sum;
@@ -59,7 +59,7 @@
     return sum.total() == 0;
 }
 
-// Returns whether some history shows that the guard is missing.
+// Returns whether a history without the safeguard violates an invariant.
 bool findViolationWithout(Safeguard guard, std::uint64_t firstSeed, std::uint64_t count, int nodes)
 {
     for (std::uint64_t seed = firstSeed; seed < firstSeed + count; ++seed) {
@@ -79,15 +79,15 @@
 
 int main(int argc, char **argv)
 {
-    CLI::App app { "Seeded exploration of several nodes under faults." };
+    CLI::App app { "Explores seeded histories of several nodes under faults." };
     std::uint64_t seeds = 1000;
     std::uint64_t firstSeed = 1;
     int nodes = 0;
     bool withoutGuards = true;
-    app.add_option("--seeds", seeds, "Histories to explore.");
+    app.add_option("--seeds", seeds, "Number of histories to explore.");
     app.add_option("--seed", firstSeed, "First seed.");
-    app.add_option("--nodes", nodes, "Nodes, 3 to 5; 0 takes turns.")->check(CLI::IsMember({ 0, 3, 4, 5 }));
-    app.add_option("--guards", withoutGuards, "Whether to leave out each guard in turn.");
+    app.add_option("--nodes", nodes, "Number of nodes, 3 to 5; 0 varies it with the seed.")->check(CLI::IsMember({ 0, 3, 4, 5 }));
+    app.add_option("--guards", withoutGuards, "Whether to also run without each safeguard.");
     CLI11_PARSE(app, argc, argv);
 
     bool isPassed = explore(firstSeed, seeds, nodes);
--- a/bench/forward.cpp
+++ b/bench/forward.cpp
@@ -1,4 +1,5 @@
-// What a forward adds to a request: the same handler asked straight over HTTP and through another node, with 1, 8 and 64 callers.
+// Measures the latency that forwarding adds to a request: the same handler called directly over HTTP and through another node, with 1, 8
+// and 64 callers.
 
 #include "transport/httpclient.h"
 #include "transport/noderpc.h"
@@ -103,12 +104,14 @@
     settings.secret = "only for this bench";
     const auto ownerNode = std::move(NodeRpc::start(settings).value());
     const auto entryNode = std::move(NodeRpc::start(settings).value());
-    ownerNode->serveForwards([](const HttpRequest &request, int, const std::shared_ptr<HttpExchange> &exchange) { serve(request, exchange); });
+    ownerNode->serveForwards(
+        [](const HttpRequest &request, int, const std::shared_ptr<HttpExchange> &exchange) { serve(request, exchange); });
     const std::string address = "127.0.0.1:" + std::to_string(ownerNode->port());
     const auto directServer = std::move(HttpServer::start({}, serve).value());
-    const auto forwardingServer = std::move(HttpServer::start({}, [&](const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) {
-        entryNode->forward(address, request, 1, exchange, [exchange](const Error &) { exchange->respond(503, {}, ""); });
-    }).value());
+    const auto forwardingServer =
+        std::move(HttpServer::start({}, [&](const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) {
+            entryNode->forward(address, request, 1, exchange, [exchange](const Error &) { exchange->respond(503, {}, ""); });
+        }).value());
     HttpClient client;
     for (const int callers : { 1, 8, 64 }) {
         LoadRun directRun(client, directServer->port());
@@ -117,7 +120,9 @@
         const auto forwardedLatencies = forwardedRun.measure(callers);
         std::printf("callers=%d direct p50=%.0f p99=%.0f us, forwarded p50=%.0f p99=%.0f us, ratio p50=%.2f p99=%.2f, added p50=%.0f us, "
                     "failed=%d\n",
-            callers, quantile(directLatencies, 0.5), quantile(directLatencies, 0.99), quantile(forwardedLatencies, 0.5), quantile(forwardedLatencies, 0.99), quantile(forwardedLatencies, 0.5) / quantile(directLatencies, 0.5),
-            quantile(forwardedLatencies, 0.99) / quantile(directLatencies, 0.99), quantile(forwardedLatencies, 0.5) - quantile(directLatencies, 0.5), directRun.failed() + forwardedRun.failed());
+            callers, quantile(directLatencies, 0.5), quantile(directLatencies, 0.99), quantile(forwardedLatencies, 0.5),
+            quantile(forwardedLatencies, 0.99), quantile(forwardedLatencies, 0.5) / quantile(directLatencies, 0.5),
+            quantile(forwardedLatencies, 0.99) / quantile(directLatencies, 0.99),
+            quantile(forwardedLatencies, 0.5) - quantile(directLatencies, 0.5), directRun.failed() + forwardedRun.failed());
     }
 }
--- a/bench/ledger.cpp
+++ b/bench/ledger.cpp
@@ -1,4 +1,4 @@
-// Memory of a one-time request that is remembered: the slope of the heap over the entries, and what the ledger charges for one.
+// Measures the memory of a ledger entry: the heap growth per entry, beside the bytes that the ledger accounts for.
 
 #include "coordination/ledger.h"
 
--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -8,7 +8,8 @@
 #include <cstdlib>
 #include <string>
 
-// Membership under virtual time: how fast a dead node leaves every view, how often a live one is suspected, and what it costs.
+// Measures the membership protocol in virtual time: how fast a failed node disappears from every view, how often a live node is suspected,
+// how fast facts propagate, and the bandwidth and processor time per node.
 
 using namespace ApricotStep;
 using Fakes::FakeFleet;
@@ -38,7 +39,7 @@
     return values[std::min(values.size() - 1, index)];
 }
 
-// One sample a survivor and failure: the time until that survivor's view no longer has the dead node.
+// Takes one sample per survivor and failure: the time until the view of the survivor no longer contains the failed node.
 void measureDetection(std::size_t members, int failures, std::uint64_t seed)
 {
     FakeFleet fleet(seed);
@@ -90,7 +91,8 @@
     }
     fleet.bytes = 0;
     fleet.datagrams = 0;
-    // The work of today's largest plan: a configuration version each 7.9 s, told by three nodes, and a leaving VM each 77 s.
+    // The load of the largest planned deployment: a configuration version every 7.9 s (here 8 s), announced by three nodes, and a leaving
+    // VM every 77 s.
     std::uint64_t version = 1;
     int second = 0;
     const auto started = std::chrono::steady_clock::now();
@@ -131,7 +133,7 @@
         100 * cpuSeconds / nodeSeconds);
 }
 
-// Time until the last node knows a fact that one node tells.
+// Measures the time until all nodes know a fact that one node announces.
 void measurePropagation(std::size_t members, int facts, std::uint64_t seed)
 {
     FakeFleet fleet(seed);
--- a/bench/path.cpp
+++ b/bench/path.cpp
@@ -9,8 +9,8 @@
 #include <thread>
 #include <vector>
 
-// What a node adds to a request: closed-loop callers against an engine directly and through a node, in turns within one run, so that the
-// ratio does not depend on what else the machine does. bench/path.sh starts the processes.
+// Measures the latency that a node adds to a request: closed-loop callers alternate between calling an engine directly and through a node
+// within one run, so that other load on the machine affects both alike. bench/path.sh starts the processes.
 
 namespace
 {
@@ -96,7 +96,7 @@
 
 int main(int argc, char **argv)
 {
-    CLI::App app { "What a node adds to a request." };
+    CLI::App app { "Measures the latency that a node adds to a request." };
     std::string direct;
     std::string node;
     std::string model;
@@ -104,9 +104,9 @@
     int rounds = 3;
     app.add_option("--direct", direct, "host:port of the engine")->required();
     app.add_option("--node", node, "host:port of the node")->required();
-    app.add_option("--model", model, "id@version, loaded at the engine")->required();
-    app.add_option("--seconds", seconds, "of each measurement");
-    app.add_option("--rounds", rounds, "turns of engine and node; the median round is printed");
+    app.add_option("--model", model, "id@version of an adapter that is loaded on the engine")->required();
+    app.add_option("--seconds", seconds, "duration of each measurement");
+    app.add_option("--rounds", rounds, "number of measurement pairs of engine and node; the median pair is printed");
     CLI11_PARSE(app, argc, argv);
     curl_global_init(CURL_GLOBAL_ALL);
     std::printf("callers stream engine_rps node_rps rps_ratio added_p50_ms added_p99_ms failed\n");
--- a/bench/path.sh
+++ b/bench/path.sh
@@ -1,10 +1,11 @@
 #!/usr/bin/env bash
-# What a node adds to a request, against the same stand-in engine called directly, in turns within one run. Usage: bench/path.sh BUILD-FOLDER
+# Measures the latency that a node adds to a request, compared with calling the same stand-in engine directly, alternating within one run.
+# Usage: bench/path.sh BUILD-FOLDER [OPTIONS-OF-BENCH_PATH...]
 set -euo pipefail
 BUILD="$(cd "$1" && pwd)"
 source "$(dirname "$0")/../examples/processes.sh"
 
-# An engine that answers at once: what is measured is the way, not the model.
+# The engine generates tokens without delay, so that only the request path is measured.
 start engine "$BUILD/tests/standins/standin" engine --slots 4 --batch 256 --token-ms 0
 ENGINE="127.0.0.1:$(value port)"
 printf '[adapters]\nlessons@1 = track=stable\n[upstream e1]\naddress = %s\nzone = a\nslots = 4\nbatch = 256\n' "$ENGINE" >"$WORK/catalog.ini"
--- a/bench/placementcost.cpp
+++ b/bench/placementcost.cpp
@@ -1,4 +1,5 @@
-// What one placement decision costs, and what it costs to take in a new catalog or fleet view, over upstreams and adapters.
+// Measures the time of one placement decision, and of building the placement for a new catalog or fleet view, with 30 to 12,000 upstreams
+// and 130,000 adapters.
 
 #include "coordination/placement.h"
 
@@ -75,7 +76,7 @@
 
 } // namespace
 
-// Upstreams and base models.
+// Arguments: number of upstreams, number of base models.
 BENCHMARK(decide)->Args({ 30, 1 })->Args({ 1000, 1 })->Args({ 12'000, 1 })->Args({ 12'000, 7 })->Unit(benchmark::kMicrosecond);
 BENCHMARK(takeIn)->Args({ 30, 1 })->Args({ 1000, 1 })->Args({ 12'000, 7 })->Unit(benchmark::kMillisecond);
 
--- a/bench/retries.cpp
+++ b/bench/retries.cpp
@@ -1,5 +1,5 @@
-// What a retry budget, an adaptive limit and ejection do for callers, under virtual time against simulated upstreams.
-// Prints one line a figure: scenario.variant.figure value unit. Options: --seeds N (default 20).
+// Measures the effect of a retry budget, an adaptive concurrency limit and outlier ejection, in virtual time against simulated upstreams.
+// Prints one line per metric: scenario.variant.metric value unit. Options: --seeds N (default 20).
 
 #include "coordination/attempt.h"
 #include "coordination/concurrencylimit.h"
@@ -32,11 +32,11 @@
 struct Scenario
 {
     std::string name;
-    /** Offered load over the capacity of all upstreams. */
+    /** Offered load as a multiple of the capacity of all upstreams. */
     double load = 0.7;
-    /** Share of attempts that fail after having been worked on. */
+    /** Share of attempts that fail after the upstream has processed them. */
     double failing = 0;
-    /** From 10 s to 40 s the first upstream works this much slower. */
+    /** Factor on the service time of the first upstream from 10 s to 40 s. */
     double slowdown = 1;
 };
 
@@ -77,7 +77,7 @@
 struct Upstream
 {
     int running = 0;
-    // Sent and not over, as the sender sees it.
+    // Attempts that the sender considers sent and not ended.
     int inFlight = 0;
     std::deque<std::size_t> waiting;
     ConcurrencyLimit limit { { 1, Batch } };
@@ -198,13 +198,14 @@
         return !m_variant.hasEjection || chance() < m_outliers.share(idOf(upstream), m_now);
     }
 
-    // A random order stands for the candidate lists of many adapters.
+    // The random order simulates the candidate lists of many adapters.
     int pickUpstream(int last)
     {
         std::array<int, UpstreamCount> order;
         std::iota(order.begin(), order.end(), 0);
         std::shuffle(order.begin(), order.end(), m_random);
-        const auto available = std::find_if(order.begin(), order.end(), [&](int upstream) { return upstream != last && isAvailable(upstream); });
+        const auto available =
+            std::find_if(order.begin(), order.end(), [&](int upstream) { return upstream != last && isAvailable(upstream); });
         return available == order.end() ? -1 : *available;
     }
 
@@ -234,7 +235,7 @@
         return isSlow ? m_scenario.slowdown : 1;
     }
 
-    // The upstream works on what it was sent, abandoned or not: it does not know that nobody waits any more.
+    // The upstream also processes attempts that timed out: it does not know that the sender has abandoned them.
     void startWork(Upstream &at, int upstream)
     {
         while (at.running < Batch && !at.waiting.empty()) {
@@ -358,7 +359,7 @@
 int main(int count, char **arguments)
 {
     const int seeds = seedsFrom(count, arguments);
-    // The base rate of failures is a tenth of all attempts.
+    // The base failure rate (1x) is 10 % of all attempts.
     const std::vector<Scenario> failing { { "failures-1x", 0.7, 0.1 }, { "failures-2x", 0.7, 0.2 }, { "failures-5x", 0.7, 0.5 },
         { "failures-5x-busy", 0.9, 0.5 } };
     const std::vector<Variant> retryVariants { { "no-retries", 1 }, { "three-attempts", 3 }, { "budget", 3, true } };
@@ -368,8 +369,8 @@
         }
     }
     const std::vector<Scenario> slowScenarios { { "slow-5x", 0.7, 0, 5 }, { "slow-20x", 0.7, 0, 20 }, { "overload-1.3x", 1.3 } };
-    const std::vector<Variant> containmentVariants { { "budget", 3, true }, { "limit", 3, true, true }, { "ejection", 3, true, false, true },
-        { "both", 3, true, true, true } };
+    const std::vector<Variant> containmentVariants { { "budget", 3, true }, { "limit", 3, true, true },
+        { "ejection", 3, true, false, true }, { "both", 3, true, true, true } };
     for (const Scenario &scenario : slowScenarios) {
         for (const Variant &variant : containmentVariants) {
             measure(scenario, variant, seeds);
