--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,13 +1,14 @@
 #!/usr/bin/env python3
-"""What a node costs as one thing grows at a time: nodes, VMs, adapters, upstreams, configuration changes, requests.
+"""Measures the resource usage of a node while one quantity grows: nodes, VMs, adapters, upstreams, configuration changes, requests.
 
 Usage: bench/capacity.py BUILD [--part nodes,list,...] [--seconds 10]
 
-Starts real `apricotstep node` processes and the stand-ins of BUILD on loopback. Prints a line a figure, `name value unit`, as the mean over
-the nodes of a point, and a slope by least squares for each thing that grew. Processor time is user and system time of /proc/PID/stat as a
-share of one core; memory is VmRSS, RssAnon and VmHWM of /proc/PID/status; membership bytes are those of /status. The bytes of node RPC, of the
-configuration service and of the VM list are the payload that `ss` shows for their TCP connections; a connection that opened and closed
-between the two looks is not in them. All byte figures are sent and received together, as a node sees them, without TCP, UDP and IP headers.
+Starts real `apricotstep node` processes and the stand-ins of BUILD on loopback. Prints one line per metric, `name value unit`, as the
+mean over the nodes of a measurement, and a least-squares slope for each quantity. Processor time is user and system time of
+/proc/PID/stat as a share of one core; memory is VmRSS, RssAnon and VmHWM of /proc/PID/status; membership bytes are those of /status.
+The bytes of node RPC, of the configuration service and of the VM list are the payload that `ss` shows for their TCP connections,
+without connections that opened and closed between the two samples. All byte metrics are the sum of sent and received bytes per node,
+without TCP, UDP and IP headers.
 """
 
 import argparse
@@ -31,7 +32,7 @@
 
 
 class Process:
-    """A program that prints a line `ready name=port ...`."""
+    """A child process that prints a line `ready name=port ...` once it serves."""
 
     def __init__(self, work, name, arguments):
         self.out = work / f"{name}.out"
@@ -47,7 +48,7 @@
             if self.child.poll() is not None:
                 break
             time.sleep(0.05)
-        raise RuntimeError(f"{self.out} has no line 'ready'")
+        raise RuntimeError(f"{self.out} has no 'ready' line")
 
     def processor_seconds(self):
         fields = pathlib.Path(f"/proc/{self.child.pid}/stat").read_text().rsplit(")", 1)[1].split()
@@ -68,14 +69,14 @@
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=timeout)
     try:
         connection.request("POST" if body is not None else "GET", path, body)
-        answer = connection.getresponse()
-        return answer.status, answer.read()
+        response = connection.getresponse()
+        return response.status, response.read()
     finally:
         connection.close()
 
 
 def tcp_bytes():
-    """Payload bytes, sent and received together, of each TCP connection as (local port, remote port)."""
+    """Returns the payload bytes, sent plus received, of each TCP connection by (local port, remote port)."""
     text = subprocess.run(["ss", "-tinHO", "state", "established"], check=True, capture_output=True, text=True).stdout
     connections = {}
     for line in text.splitlines():
@@ -86,12 +87,12 @@
 
 
 def bytes_between(before, after, local_ports):
-    """Bytes on the connections that the servers at local_ports have taken."""
+    """Returns the bytes transferred on the connections accepted by the servers at local_ports."""
     return sum(count - before.get(ports, 0) for ports, count in after.items() if ports[0] in local_ports)
 
 
 class Fleet:
-    """Nodes and stand-ins of one point; all of them end with it."""
+    """The nodes and stand-ins of one measurement; all are stopped when the context ends."""
 
     def __init__(self, build, nodes=3, adapters=100, upstreams=3, listed_servers=0, store_rate=1000000):
         self.build = pathlib.Path(build).resolve()
@@ -99,8 +100,8 @@
         self.processes = []
         self.adapters = adapters
         self.store_rate = store_rate
-        self.serial = 0
-        # Owners find each other by the fencing tokens that an engine has seen, so upstreams cannot share one.
+        self.change_number = 0
+        # Each upstream needs an engine of its own: owners detect each other by the fencing tokens that an engine has seen.
         engines = [self.standin("engine", "--slots", "1000000", "--batch", "256", "--token-ms", "5") for _ in range(upstreams)]
         self.engines = [engine.ports()["port"] for engine in engines]
         self.service = self.standin("service").ports()["port"]
@@ -113,7 +114,7 @@
         self.nodes = [self.node(i) for i in range(nodes)]
         self.ports = [node.ports() for node in self.nodes]
         self.write_vms(listed_servers)
-        self.await_whole()
+        self.wait_until_converged()
 
     def __enter__(self):
         return self
@@ -168,10 +169,10 @@
                        stdout=subprocess.DEVNULL)
 
     def change_catalog(self):
-        """Publishes a version in which one adapter has another label."""
-        self.serial += 1
+        """Publishes a configuration version that changes a label of one adapter."""
+        self.change_number += 1
         lines = self.catalog.read_text().splitlines()
-        lines[1] = f"adapter-of-shop-0@1 = shop=shop-0, track=stable, region=changed{self.serial}"
+        lines[1] = f"adapter-of-shop-0@1 = shop=shop-0, track=stable, region=changed{self.change_number}"
         self.catalog.write_text("\n".join(lines) + "\n")
         self.pack()
 
@@ -180,15 +181,15 @@
                 "rpc_address": f"127.0.0.1:{ports['rpc']}", "membership_address": f"127.0.0.1:{ports['membership']}"}
                for i, ports in enumerate(self.ports)]
         vms += [{"id": f"server{i}", "role": "upstream", "zone": f"zone{i % 3}"} for i in range(servers)]
-        beside = self.work / "vms.new"
-        beside.write_text(json.dumps({"vms": vms}, separators=(",", ":")))
-        beside.rename(self.vms)
+        temporary = self.work / "vms.new"
+        temporary.write_text(json.dumps({"vms": vms}, separators=(",", ":")))
+        temporary.rename(self.vms)
 
     def status(self, number):
         return json.loads(get(self.ports[number]["operators"], "/status")[1])
 
-    def await_whole(self):
-        """Until each node sees all nodes and has a configuration."""
+    def wait_until_converged(self):
+        """Waits until each node sees all nodes and has a configuration."""
         end = time.monotonic() + READY_TIMEOUT
         for number in range(len(self.nodes)):
             while True:
@@ -196,7 +197,7 @@
                 if len(status["nodes"]) == len(self.nodes) and status["config_version"] > 0:
                     break
                 if time.monotonic() > end:
-                    raise RuntimeError(f"node{number} does not see the whole fleet")
+                    raise RuntimeError(f"node{number} does not see all nodes")
                 time.sleep(0.1)
 
     def config_calls(self):
@@ -242,36 +243,36 @@
          "suspicions": "count_in_the_fleet"}
 
 
-def show(name, value, unit):
+def print_value(name, value, unit):
     print(f"{name} {value:.4g} {unit}", flush=True)
 
 
-def show_point(part, size, figures):
-    for name, value in figures.items():
-        show(f"{part}.{size}.{name}", value, UNITS.get(name, ""))
+def print_point(part, size, metrics):
+    for name, value in metrics.items():
+        print_value(f"{part}.{size}.{name}", value, UNITS.get(name, ""))
 
 
-def show_slopes(part, points, unit, names=("core", "resident", "anonymous", "peak", "membership", "rpc", "configuration", "vm_list")):
+def print_slopes(part, points, unit, names=("core", "resident", "anonymous", "peak", "membership", "rpc", "configuration", "vm_list")):
     sizes = [size for size, _ in points]
     if len(set(sizes)) < 2:
         return
-    middle = sum(sizes) / len(sizes)
-    spread = sum((size - middle) ** 2 for size in sizes)
+    mean_size = sum(sizes) / len(sizes)
+    squared_deviation = sum((size - mean_size) ** 2 for size in sizes)
     for name in names:
-        values = [figures[name] for _, figures in points]
+        values = [metrics[name] for _, metrics in points]
         mean = sum(values) / len(values)
-        slope = sum((size - middle) * (value - mean) for size, value in zip(sizes, values)) / spread
-        show(f"{part}.slope.{name}", slope, f"{UNITS[name]}_a_{unit}")
-        show(f"{part}.at_zero.{name}", mean - slope * middle, UNITS[name])
+        slope = sum((size - mean_size) * (value - mean) for size, value in zip(sizes, values)) / squared_deviation
+        print_value(f"{part}.slope.{name}", slope, f"{UNITS[name]}_a_{unit}")
+        print_value(f"{part}.at_zero.{name}", mean - slope * mean_size, UNITS[name])
 
 
-def grow(part, sizes, unit, run):
+def measure_sizes(part, sizes, unit, run):
     points = []
     for size in sizes:
-        figures = run(size)
-        show_point(part, size, figures)
-        points.append((size, figures))
-    show_slopes(part, points, unit)
+        metrics = run(size)
+        print_point(part, size, metrics)
+        points.append((size, metrics))
+    print_slopes(part, points, unit)
 
 
 def completion(port, number, tokens, stream=False):
@@ -281,15 +282,18 @@
     return status == 200
 
 
-def wake_owned(fleet, count):
-    """One short request for each of many adapters, so that nodes make what they keep for an owned engine."""
+def load_adapters(fleet, count):
+    """Sends one short request for each of many adapters, so that the nodes create the state that they keep for an owned engine.
+
+    Returns the number of successful requests.
+    """
     with concurrent.futures.ThreadPoolExecutor(16) as pool:
         done = list(pool.map(lambda i: completion(fleet.ports[i % len(fleet.ports)]["callers"], i, 1), range(count)))
     return sum(done)
 
 
-def paced(rate, call):
-    """Calls at a steady rate, up to 32 at once; counts the calls and those that did not succeed."""
+def run_at_rate(rate, call):
+    """Returns a counter and a function that makes calls at a constant rate, up to 32 at once, and counts all and the failed ones."""
     counts = {"calls": 0, "failed": 0}
 
     def during(seconds):
@@ -309,39 +313,39 @@
     def run(size):
         with Fleet(options.build, nodes=size) as fleet:
             return fleet.measure(options.seconds)
-    grow("nodes", options.nodes, "node", run)
+    measure_sizes("nodes", options.nodes, "node", run)
 
 
 def part_list(options):
     def run(size):
         with Fleet(options.build, listed_servers=size) as fleet:
-            figures = fleet.measure(options.seconds)
-            show(f"list.{size}.bytes", fleet.vms.stat().st_size, "B_a_read")
-            return figures
-    grow("list", [0, 1000, 12000], "listed_server", run)
+            metrics = fleet.measure(options.seconds)
+            print_value(f"list.{size}.bytes", fleet.vms.stat().st_size, "B_a_read")
+            return metrics
+    measure_sizes("list", [0, 1000, 12000], "listed_server", run)
 
 
 def part_adapters(options):
     def run(size):
         with Fleet(options.build, adapters=size) as fleet:
             return fleet.measure(options.seconds)
-    grow("adapters", [1000, 10000, 130000], "adapter", run)
+    measure_sizes("adapters", [1000, 10000, 130000], "adapter", run)
 
 
 def part_upstreams(options):
     def run(size):
         with Fleet(options.build, adapters=3 * size, upstreams=size) as fleet:
-            answered = wake_owned(fleet, 3 * size)
-            show(f"upstreams.{size}.woken_by", answered, "requests")
-            figures = fleet.measure(options.seconds)
+            answered = load_adapters(fleet, 3 * size)
+            print_value(f"upstreams.{size}.woken_by", answered, "requests")
+            metrics = fleet.measure(options.seconds)
             owned = sum(len(fleet.status(i)["engines"]) for i in range(len(fleet.nodes))) / len(fleet.nodes)
-            show(f"upstreams.{size}.owned", owned, "engines_a_node")
-            points.append((owned, figures))
-            return figures
+            print_value(f"upstreams.{size}.owned", owned, "engines_a_node")
+            points.append((owned, metrics))
+            return metrics
     points = []
     for size in [10, 50, 150]:
-        show_point("upstreams", size, run(size))
-    show_slopes("upstreams", points, "owned_engine")
+        print_point("upstreams", size, run(size))
+    print_slopes("upstreams", points, "owned_engine")
 
 
 def part_changes(options):
@@ -354,11 +358,11 @@
                 def publish(_):
                     fleet.change_catalog()
                     return True
-                counts, during = paced(a_minute / 60, publish)
-                figures = fleet.measure(options.seconds, during)
-                show(f"changes{adapters}.{a_minute}.published", counts["calls"], "changes")
-                return figures
-        grow(f"changes{adapters}", [0, 12, 30] if adapters > 10000 else [0, 12, 60], "change_a_minute", run)
+                counts, during = run_at_rate(a_minute / 60, publish)
+                metrics = fleet.measure(options.seconds, during)
+                print_value(f"changes{adapters}.{a_minute}.published", counts["calls"], "changes")
+                return metrics
+        measure_sizes(f"changes{adapters}", [0, 12, 30] if adapters > 10000 else [0, 12, 60], "change_a_minute", run)
 
 
 def part_requests(options):
@@ -370,43 +374,46 @@
     for name, make in calls.items():
         def run(rate, make=make, name=name):
             with Fleet(options.build, nodes=1) as fleet:
-                wake_owned(fleet, 50)
+                load_adapters(fleet, 50)
                 if rate == 0:
                     return fleet.measure(options.seconds)
-                counts, during = paced(rate, make(fleet))
-                figures = fleet.measure(options.seconds, during)
-                show(f"{name}.{rate}.calls", counts["calls"], "calls")
-                show(f"{name}.{rate}.failed", counts["failed"], "calls")
-                return figures
-        grow(name, [0, 10, 30], "request_a_second", run)
+                counts, during = run_at_rate(rate, make(fleet))
+                metrics = fleet.measure(options.seconds, during)
+                print_value(f"{name}.{rate}.calls", counts["calls"], "calls")
+                print_value(f"{name}.{rate}.failed", counts["failed"], "calls")
+                return metrics
+        measure_sizes(name, [0, 10, 30], "request_a_second", run)
 
 
 def part_forwards(options):
-    """Node 0 owns the only engine. Slopes are means over two nodes: the cost of a request to both together is twice the slope."""
+    """Measures direct and forwarded requests. Node 0 owns the only engine.
+
+    Slopes are means over two nodes: the total cost of a request on both nodes is twice the slope.
+    """
     for name, receiver in {"direct": 0, "forwarded": 1}.items():
         def run(rate, receiver=receiver, name=name):
             with Fleet(options.build, nodes=2, upstreams=1) as fleet:
-                wake_owned(fleet, 50)
+                load_adapters(fleet, 50)
                 if rate == 0:
                     return fleet.measure(options.seconds)
-                counts, during = paced(rate, lambda i: completion(fleet.ports[receiver]["callers"], i % 50, 2))
-                figures = fleet.measure(options.seconds, during)
-                show(f"{name}.{rate}.failed", counts["failed"], "calls")
-                return figures
-        grow(name, [0, 10, 30], "request_a_second", run)
+                counts, during = run_at_rate(rate, lambda i: completion(fleet.ports[receiver]["callers"], i % 50, 2))
+                metrics = fleet.measure(options.seconds, during)
+                print_value(f"{name}.{rate}.failed", counts["failed"], "calls")
+                return metrics
+        measure_sizes(name, [0, 10, 30], "request_a_second", run)
 
 
 def part_keys(options):
-    """One-time requests that a node remembers."""
+    """Measures the memory of the one-time requests that a node keeps in its ledger."""
     def once(fleet, number):
         port = fleet.ports[0]["callers"]
         key = json.loads(get(port, "/v1/keys", "")[1])["idempotency_key"]
         connection = http.client.HTTPConnection("127.0.0.1", port, timeout=30)
         try:
             connection.request("POST", "/svc/payments/enrol", json.dumps({"amount": number}), {"Idempotency-Key": key})
-            answer = connection.getresponse()
-            answer.read()
-            return answer.status == 200
+            response = connection.getresponse()
+            response.read()
+            return response.status == 200
         finally:
             connection.close()
 
@@ -414,17 +421,17 @@
         with Fleet(options.build, nodes=1) as fleet:
             with concurrent.futures.ThreadPoolExecutor(16) as pool:
                 done = sum(pool.map(lambda i: once(fleet, i), range(count)))
-            show(f"keys.{count}.answered", done, "requests")
-            figures = fleet.measure(options.seconds)
-            show(f"keys.{count}.remembered", fleet.status(0)["ledger_entries"], "entries")
-            return figures
-    grow("keys", [0, 2000, 10000], "remembered_request", run)
+            print_value(f"keys.{count}.answered", done, "requests")
+            metrics = fleet.measure(options.seconds)
+            print_value(f"keys.{count}.remembered", fleet.status(0)["ledger_entries"], "entries")
+            return metrics
+    measure_sizes("keys", [0, 2000, 10000], "remembered_request", run)
 
 
 def part_report(options):
-    """An engine's load report as an owner reads it. HTTP with headers, without TCP and IP."""
+    """Measures the size of an engine's load report as an owner reads it: HTTP with headers, without TCP and IP headers."""
     with Fleet(options.build, upstreams=1) as fleet:
-        wake_owned(fleet, 24)
+        load_adapters(fleet, 24)
         before = tcp_bytes()
         connection = http.client.HTTPConnection("127.0.0.1", fleet.engines[0])
         for _ in range(100):
@@ -433,20 +440,20 @@
         local = connection.sock.getsockname()[1]
         spent = bytes_between(before, {ports: count for ports, count in tcp_bytes().items() if ports[1] == local}, [fleet.engines[0]])
         connection.close()
-        show("report.loaded", len(json.loads(body)["loaded"]), "adapters")
-        show("report.bytes", spent / 100, "B_a_read")
+        print_value("report.loaded", len(json.loads(body)["loaded"]), "adapters")
+        print_value("report.bytes", spent / 100, "B_a_read")
 
 
 def part_permits(options):
-    """What permits cost while adapters wake as fast as the store gives them, 2 a second over the fleet."""
+    """Measures the cost of load permits while adapters are loaded at nearly the rate of the weight store, 2 per second for the fleet."""
     with Fleet(options.build, nodes=6, upstreams=30, adapters=2000, store_rate=200) as fleet:
         idle = fleet.measure(options.seconds)
-        counts, during = paced(1.8, lambda i: completion(fleet.ports[i % 6]["callers"], i, 1))
-        figures = fleet.measure(options.seconds, during)
-        show("permits.calls", counts["calls"], "calls")
-        show("permits.failed", counts["failed"], "calls")
-        show_point("permits", "idle", idle)
-        show_point("permits", "waking", figures)
+        counts, during = run_at_rate(1.8, lambda i: completion(fleet.ports[i % 6]["callers"], i, 1))
+        metrics = fleet.measure(options.seconds, during)
+        print_value("permits.calls", counts["calls"], "calls")
+        print_value("permits.failed", counts["failed"], "calls")
+        print_point("permits", "idle", idle)
+        print_point("permits", "waking", metrics)
 
 
 PARTS = {"nodes": part_nodes, "list": part_list, "adapters": part_adapters, "upstreams": part_upstreams, "changes": part_changes,
@@ -454,13 +461,13 @@
 
 
 def main():
-    parser = argparse.ArgumentParser(description="What a node costs as one thing grows at a time.")
+    parser = argparse.ArgumentParser(description="Measures the resource usage of a node while one quantity grows.")
     parser.add_argument("build")
     parser.add_argument("--part", default=",".join(PARTS), help="comma-separated: " + ", ".join(PARTS))
-    parser.add_argument("--seconds", type=float, default=10, help="measured time of a point, at most 15")
-    parser.add_argument("--nodes", default="3,10,20,40", help="sizes of part nodes, up to 60")
+    parser.add_argument("--seconds", type=float, default=10, help="duration of each measurement, at most 15")
+    parser.add_argument("--nodes", default="3,10,20,40", help="fleet sizes of the part nodes, at most 60")
     options = parser.parse_args()
-    # Without this the nodes would outlive an ended measurement.
+    # Without this handler the nodes would keep running after the benchmark is terminated.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
     options.seconds = min(options.seconds, 15)
     options.nodes = [min(int(size), 60) for size in options.nodes.split(",")]
--- a/bench/path.sh
+++ b/bench/path.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Measures the latency that a node adds to a request, compared with calling the same stand-in engine directly, alternating within one run.
+# Measures the latency that a node adds to a request, compared with direct calls to the same stand-in engine, alternating within one run.
 # Usage: bench/path.sh BUILD-FOLDER [OPTIONS-OF-BENCH_PATH...]
 set -euo pipefail
 BUILD="$(cd "$1" && pwd)"
