--- a/cmake/helpers.cmake
+++ b/cmake/helpers.cmake
@@ -1,13 +1,14 @@
-# One layer: a static library apricotstep_<name> from the sources of its folder.
+# Sets the warning and sanitizer flags of a target.
 function(apricotstep_flags target)
     target_compile_options(${target} PRIVATE -Wall -Wextra -Werror -Wno-missing-field-initializers)
     if(APRICOTSTEP_SANITIZE)
-        # GCC's sanitizer passes hide initialisations from this warning, which then fires inside library headers.
+        # GCC's sanitizer passes hide initializations from -Wmaybe-uninitialized, which then warns inside library headers.
         target_compile_options(${target} PRIVATE -fsanitize=${APRICOTSTEP_SANITIZE} -fno-omit-frame-pointer -Wno-maybe-uninitialized)
         target_link_options(${target} PUBLIC -fsanitize=${APRICOTSTEP_SANITIZE})
     endif()
 endfunction()
 
+# Adds the static library apricotstep_<name> of a layer from the sources of its folder. Further arguments are the libraries it links.
 function(apricotstep_layer name)
     file(GLOB sources CONFIGURE_DEPENDS ${CMAKE_CURRENT_SOURCE_DIR}/*.cpp)
     add_library(apricotstep_${name} STATIC ${sources})
@@ -16,7 +17,7 @@
     apricotstep_flags(apricotstep_${name})
 endfunction()
 
-# The one test program of a layer: all sources of tests/<name>.
+# Adds the test program of a layer from all sources of tests/<name>. Further arguments are the libraries it links.
 function(apricotstep_test name)
     file(GLOB sources CONFIGURE_DEPENDS ${CMAKE_CURRENT_SOURCE_DIR}/${name}/*.cpp)
     add_executable(test_${name} ${sources})
--- a/examples/caller.py
+++ b/examples/caller.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Chat, address look-up and a one-time payment with Python's standard library, right about repeats.
+"""A chat, an address lookup and a one-time payment with Python's standard library, with correct retries.
 
 Usage: caller.py NODE SELECTOR QUESTION [SERVICE/PATH BODY]
 """
@@ -14,7 +14,7 @@
 
 
 def call(url, body=None, headers=None):
-    """Gives (status, text); status 0 when no answer came."""
+    """Returns (status, text); the status is 0 if there was no response."""
     request = urllib.request.Request(url, data=body, headers=headers or {})
     try:
         with urllib.request.urlopen(request, timeout=60) as answer:
@@ -33,13 +33,13 @@
 
 
 def address(node, selector):
-    """The best node for a selector; keep the answer for keep_ms."""
+    """Returns the best node for a selector. Callers may cache the response for keep_ms, which this example does not."""
     status, text = call(f"http://{node}/v1/address?model={urllib.parse.quote(selector)}")
     return json.loads(text)["addresses"][0]["address"] if status == 200 else node
 
 
 def chat(node, selector, question):
-    """Running a chat twice does no harm: on any trouble wait as told and ask again."""
+    """Sends a chat. Running it twice is harmless, so it retries after the delay that the error gives, unless the error rules a retry out."""
     body = json.dumps({"model": selector, "messages": [{"role": "user", "content": question}]}).encode()
     for _ in range(TRIES):
         status, text = call(f"http://{address(node, selector)}/v1/chat/completions", body)
@@ -49,11 +49,11 @@
         if error.get("retry") == "never" and error.get("not_run"):
             raise SystemExit(error.get("message"))
         time.sleep(error.get("retry_after_ms", 500) / 1000)
-    raise SystemExit("no whole answer")
+    raise SystemExit("no complete answer")
 
 
 def pay(node, path, body):
-    """Get a key, then repeat with the same key until the outcome is known. Never pay again with a new key."""
+    """Gets an idempotency key and retries with the same key until the outcome is known. Never retry a payment with a new key."""
     _, text = call(f"http://{node}/v1/keys", b"")
     key = json.loads(text)["idempotency_key"]
     for _ in range(TRIES):
@@ -61,9 +61,9 @@
         if 200 <= status < 300:
             return text
         if error_of(text).get("not_run") is False:
-            raise SystemExit("it may have run; ask the service before paying again")
+            raise SystemExit("the payment may have run; check with the service before paying again")
         time.sleep(0.5)
-    raise SystemExit("outcome not known; ask the service before paying again")
+    raise SystemExit("the outcome is unknown; check with the service before paying again")
 
 
 if __name__ == "__main__":
--- a/examples/demo.sh
+++ b/examples/demo.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Runs the whole path on loopback with stand-ins: three nodes, three engines, one plain service, and then a few callers.
+# Runs a complete fleet on loopback with stand-ins: three nodes, three engines and one plain service, and sends it the requests of a few
+# callers. Usage: demo.sh BUILD-FOLDER
 set -euo pipefail
 BUILD="$(cd "$1" && pwd)"
 source "$(dirname "$0")/processes.sh"
@@ -59,7 +60,7 @@
     sleep 0.1
 done
 
-echo "== address look-up: who serves the stable version of shop accra?"
+echo "== address lookup: which node serves the stable version of shop accra?"
 ANSWER="$(curl -s "http://$NODE/v1/address?model=shop=accra,track=stable&once=1")"
 jq -c . <<<"$ANSWER"
 ADDRESS="$(jq -r '.addresses[0].address' <<<"$ANSWER")"
@@ -72,13 +73,13 @@
 grep -q 'data: \[DONE\]' <<<"$STREAM"
 grep -q 'lessons@1' <<<"$STREAM"
 
-echo "== the same question at each node: the two wrong ones forward it"
+echo "== the same question at each node: the two that are not responsible forward it"
 for CALLERS in "${ALL_CALLERS[@]}"; do
     curl -sf "http://127.0.0.1:$CALLERS/v1/chat/completions" \
         -d '{"model":"kitchen","max_tokens":3,"messages":[{"role":"user","content":"where is the ladle?"}]}' | jq -c .choices
 done
 
-echo "== a payment sent twice under one key, the second time to another node"
+echo "== a payment sent twice with one key, the second time to another node"
 for KEY_ADDRESS in "$NODE" "127.0.0.1:${ALL_CALLERS[0]}"; do
     curl -s -D - "http://$KEY_ADDRESS/svc/payments/enrol" -H "Idempotency-Key: $KEY" -d '{"amount":120}' | grep -iE 'replayed|receipt'
     echo
@@ -87,7 +88,7 @@
 echo "runs at the payment service: $RUNS"
 [ "$RUNS" = 1 ]
 
-echo "== the examples to copy, each as a caller would run it"
+echo "== the example scripts, each run as a caller would run it"
 HERE="$(dirname "$0")"
 "$HERE/chat.sh" "$NODE" "shop=kumasi,track=stable" "which knife for the spring onions?"
 "$HERE/pay.sh" "$NODE" payments/enrol '{"amount":80}' "127.0.0.1:${ALL_CALLERS[0]}"
@@ -95,7 +96,7 @@
 RUNS="$(curl -s "http://127.0.0.1:$PAYMENTS/control/runs" | jq .total)"
 [ "$RUNS" = 3 ]
 
-echo "== graceful shutdown of node3, which took the payment; a second SIGTERM cuts nothing off"
+echo "== graceful shutdown of node3, which ran the payment; a second SIGTERM interrupts nothing"
 kill -TERM "${PIDS[-1]}"
 kill -TERM "${PIDS[-1]}"
 wait "${PIDS[-1]}"
--- a/examples/processes.sh
+++ b/examples/processes.sh
@@ -1,4 +1,4 @@
-# Sourced by scripts that start programs of a build folder: a work folder, programs that are ended at exit, and their ready lines.
+# Sourced by scripts that start programs of a build folder. Creates a work folder, stops the programs at exit and reads their ready lines.
 WORK="$(mktemp -d)"
 PIDS=()
 finish() {
@@ -8,7 +8,7 @@
 }
 trap finish EXIT
 
-# start NAME COMMAND...: starts a program, waits for its line "ready ...", and leaves that line in READY.
+# start NAME COMMAND...: starts a program, waits for its line "ready ..." and stores that line in READY.
 start() {
     local name="$1"
     shift
@@ -23,10 +23,10 @@
     cat "$WORK/$name.log"
     exit 1
 }
-# value KEY: the number behind KEY= in READY.
+# value KEY: prints the number after KEY= in READY.
 value() { sed "s/.*$1=\([0-9]*\).*/\1/" <<<"$READY"; }
 
-# startPlatform: serves the packed values of $WORK/values and the VM list $WORK/vms.json, empty at first. Needs BUILD.
+# startPlatform: serves the packed values of $WORK/values and the VM list $WORK/vms.json, which is initially empty. Requires BUILD.
 startPlatform() {
     echo '{"vms":[]}' >"$WORK/vms.json"
     start config "$BUILD/tests/standins/standin" config --dir "$WORK/values"
@@ -35,7 +35,7 @@
     VMLIST="$(value port)"
 }
 
-# startNode NAME ZONE [SETTINGS]: a node on ephemeral ports; SETTINGS are further INI lines; they begin in [callers].
+# startNode NAME ZONE [SETTINGS]: starts a node on ephemeral ports. SETTINGS are additional INI lines, appended to section [callers].
 startNode() {
     cat >"$WORK/$1.ini" <<INI
 [node]
@@ -55,7 +55,7 @@
     start "$1" "$BUILD/main/apricotstep" node --settings "$WORK/$1.ini"
 }
 
-# vmEntry NAME ZONE: the VM list's record of the node that started last.
+# vmEntry NAME ZONE: prints the VM list entry of the node that was started last.
 vmEntry() {
     echo "{\"id\":\"$1\",\"role\":\"entry\",\"zone\":\"$2\",\"caller_address\":\"127.0.0.1:$(value callers)\",\"rpc_address\":\"127.0.0.1:$(value rpc)\",\"membership_address\":\"127.0.0.1:$(value membership)\"}"
 }
