--- a/coordination/upstreamscheduler.h
+++ b/coordination/upstreamscheduler.h
@@ -158,7 +158,7 @@
     std::uint64_t seed = 1;
 };
 
-// Composed of residency.h (which adapters are loaded), loadorder.h (which adapter is loaded next) and workqueue.h (which request is
+// Composed of engineslots.h (which adapters are loaded), loadqueue.h (which adapter is loaded next) and workqueue.h (which request is
 // dispatched next). A seat is a place in the engine's batch. With two of 16 seats reserved for urgent requests, a short urgent request
 // starts at once while patient requests fill the rest. Patient requests that are held for a fuller batch wait at most a tenth of their
 // allowance.
