--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -178,8 +178,8 @@
 
     # Interface for the stand-ins.
 
-    def fail(self, promise, text):
-        line = f"FAILED {promise} at {time.monotonic() - self.began_at:.2f} s: {text}"
+    def fail(self, invariant, text):
+        line = f"FAILED {invariant} at {time.monotonic() - self.began_at:.2f} s: {text}"
         self.failures.append(line)
         print(line, flush=True)
 
