--- a/coordination/fleetmessage.h
+++ b/coordination/fleetmessage.h
@@ -106,7 +106,7 @@
     Duration ago;
 };
 
-/** A node's promise to let no other node give orders for the time of the lease. */
+/** A node's agreement to grant the lease of this shard to no other node for the duration of the lease. */
 struct LeaseGrant
 {
     EngineShard shard;
--- a/coordination/loadpermits.h
+++ b/coordination/loadpermits.h
@@ -17,7 +17,7 @@
 // engine holds back little. A request for a permit is repeated every second and expires after three, so that a restarted issuer knows the
 // whole demand within a second and does not serve the requests of a lost client.
 //
-// Permits limit speed and are not needed for safety: two issuers at once, or none, cost time and nothing else.
+// Permits limit speed and are not needed for safety: two issuers at once, or none, only cost time.
 
 namespace ApricotStep
 {
--- a/coordination/loadqueue.cpp
+++ b/coordination/loadqueue.cpp
@@ -25,7 +25,7 @@
 struct PendingLoad
 {
     AdapterDemand demand;
-    // An entry stands in `order` under its rank if wakeAt is zero, otherwise in `sleeping`.
+    // An entry is in `order`, sorted by level and rank, if wakeAt is zero, otherwise in `sleeping`.
     Time rank;
     Time wakeAt;
 };
--- a/coordination/loadqueue.h
+++ b/coordination/loadqueue.h
@@ -16,8 +16,8 @@
 //
 // Each request that waits for the same adapter adds one load interval to the adapter's waiting time, since serving it with the same load
 // saves that much. A failed load is retried after half a second, doubled each time and jittered over half of the delay, so that engines
-// that failed together do not retry together. After six attempts (some 16 s) the adapter counts as broken and its waiting requests are told
-// so.
+// that failed together do not retry together. After six attempts (some 16 s) the adapter counts as broken and its waiting requests get an
+// error.
 
 namespace ApricotStep
 {
--- a/coordination/membership.cpp
+++ b/coordination/membership.cpp
@@ -179,7 +179,7 @@
     actions.emplace_back(SendDatagram { address, std::move(datagram) });
 }
 
-// A receiver that is not alive in this view is told so in the same datagram: a member wrongly declared dead, for example by the other side
+// If the receiver is not alive in this view, the datagram also reports that: a member wrongly declared dead, for example by the other side
 // of a partition, must learn of it to refute it.
 void Membership::Private::send(const std::string &address, MemberBody body, const Member *receiver, Time now)
 {
@@ -749,8 +749,8 @@
         return false;
     }
     if (table.liveCount() == 0) {
-        // Without live peers the view is fresh at once if the VM list names this node and no other to contact, else after enough time for
-        // others to make contact. A list that does not name this node yet may lack other nodes too.
+        // Without live peers the view is fresh at once if the VM list names this node and no other to contact, otherwise once others had
+        // time to make contact. A list that does not name this node yet may lack other nodes too.
         const bool isNamed = std::any_of(listed.begin(), listed.end(), [&](const VmRecord &vm) { return NodeId(vm.id) == self.id; });
         const bool isAlone = isNamed && std::none_of(listed.begin(), listed.end(), [&](const VmRecord &vm) { return isContactable(vm); });
         return isAlone || now - resumedAt >= limits.freshFor;
@@ -820,7 +820,7 @@
     d->self.number = static_cast<std::uint16_t>(stableHash(d->self.id.value(), "number"));
     d->limits = limits;
     d->random.seed(seed);
-    // Acks are matched by sequence. With a fixed initial value an old datagram could be taken for a new response.
+    // Acks are matched by sequence. With a fixed initial value an old datagram could be mistaken for a new response.
     d->sequence = static_cast<std::uint32_t>(d->random());
 }
 
--- a/coordination/probeschedule.h
+++ b/coordination/probeschedule.h
@@ -23,8 +23,8 @@
 
 /**
  * Chooses at most @p count relays for an indirect probe of @p target: one in the target's availability zone, one in this node's zone, the
- * rest from anywhere. With a partition between two zones there is still a path, and a partition within a zone can be told apart from a dead
- * member.
+ * rest from anywhere. With a partition between two zones there is still a path, and a partition within a zone can be distinguished from a
+ * dead member.
  */
 std::vector<NodeId> chooseRelays(const MemberTable &table, const Member &target, const ZoneId &ownZone, std::size_t count, Random &random);
 
--- a/coordination/storecallscheduler.h
+++ b/coordination/storecallscheduler.h
@@ -60,7 +60,7 @@
     void onFailed(Time now);
     /** The query was answered. */
     void onAnswered();
-    /** Whether there was no progress for so long that the store counts as lost, although no call has failed. */
+    /** Whether the store counts as lost because of the time without progress, although no call has failed. */
     bool isOverdue(Time now) const;
 
 private:
--- a/main/entry/fleetlink.cpp
+++ b/main/entry/fleetlink.cpp
@@ -141,7 +141,7 @@
     message.zone = identity.zone;
     message.scope = scope.zone();
     message.capacity = identity.capacity;
-    // For a message to all nodes: a receiver that rarely gets messages of this node must not take it for dead in between.
+    // For a message to all nodes: a receiver that rarely gets messages of this node must not consider it dead in between.
     message.interval = scope.zone().isEmpty() ? scopeLimits.inScopeInterval : scopeLimits.outOfScopeInterval;
     message.callerAddress = identity.callerAddress;
     message.peerAddress = identity.peerAddress;
@@ -281,7 +281,7 @@
     return known;
 }
 
-// Contacts count towards the majority from now on. If nodes knew only the seeds, each would take the fleet for one of four nodes, and there
+// Contacts count towards the majority from now on. If nodes knew only the seeds, each would assume a fleet of four nodes, and there
 // could be several majorities at once.
 void FleetLink::Private::addContacts(const FleetMessage &message)
 {
--- a/main/entry/requestjob.cpp
+++ b/main/entry/requestjob.cpp
@@ -251,9 +251,9 @@
     return Duration(static_cast<std::int64_t>(count * one));
 }
 
-// Returns the delay for Retry-After if the adapter cannot be loaded in time, else nothing. Without this check, requests at a node that is
-// cut off from the lease holders that order loads, or right after a restart of the whole fleet, would be held until their callers give up
-// without an answer.
+// Returns the delay for Retry-After if the adapter cannot be loaded in time, otherwise nothing. Without this check, requests at a node that
+// is cut off from the lease holders that order loads, or right after a restart of the whole fleet, would be held until their callers give
+// up without an answer.
 std::optional<Duration> RequestJob::retryDelayIfTooLate() const
 {
     const auto ordersIn = m_context.callbacks().ordersIn();
@@ -606,7 +606,7 @@
     end(isServed ? RequestOutcome::Served : RequestOutcome::Failed, isServed ? "" : "the upstream failed");
 }
 
-// Ends the request with the complete error answer of an upstream if there is one, else with an error of this node.
+// Ends the request with the complete error answer of an upstream if there is one, otherwise with an error of this node.
 void RequestJob::giveUp(ErrorKind kind)
 {
     if (m_failure && !m_isStreaming) {
--- a/main/entry/requestjob.h
+++ b/main/entry/requestjob.h
@@ -114,7 +114,7 @@
     std::uint64_t m_number;
     HttpRequest m_request;
     Platform::CallerRequest m_decoded;
-    /** Keeps m_route alive; a request keeps the configuration that was in force when it arrived. */
+    /** Keeps m_route alive; a request keeps the configuration that was active when it arrived. */
     std::shared_ptr<const RouteTable> m_table;
     const Route &m_route;
     ServiceName m_service;
--- a/main/entry/storepoller.h
+++ b/main/entry/storepoller.h
@@ -33,7 +33,7 @@
     {
         /** A call ended without a usable answer, @p waited after it started. */
         std::function<void(const std::string &reason, Duration waited)> onFailed;
-        /** No call has been answered for so long that the store counts as lost. */
+        /** The store counts as lost because of the time since it last answered a call. */
         std::function<void()> onOverdue;
     };
 
--- a/main/entry/storereader.cpp
+++ b/main/entry/storereader.cpp
@@ -263,7 +263,7 @@
 void StoreReader::Private::applyConfiguration(const Platform::StoreItem &item, const std::string &source, ClusterStateChanges &changes)
 {
     if (item.isDeleted) {
-        return; // The last configuration stays in force.
+        return; // The last configuration stays active.
     }
     auto decoded = Platform::decodeConfiguration(item.value);
     if (decoded.isOk() && clusterState.routes != nullptr && decoded.value().version <= clusterState.routes->version()) {
--- a/main/entry/storereader.h
+++ b/main/entry/storereader.h
@@ -40,7 +40,7 @@
 /**
  * Keeps the cluster state up to date with the platform's store: reads the whole store once, then watches it for changes.
  *
- * During an outage of the store the last known state stays in force. A configuration is never replaced by an older version, whether that
+ * During an outage of the store the last known state stays in use. A configuration is never replaced by an older version, whether that
  * comes from the store or from a peer.
  */
 class StoreReader
@@ -48,7 +48,7 @@
 public:
     using OnChanges = std::function<void(const ClusterStateChanges &)>;
 
-    /** @p changeBound: the time within which a change has to be in force. */
+    /** @p changeBound: the time within which a change has to be active. */
     StoreReader(
         IoLoop &loop, EventLog &log, ClusterState &clusterState, std::string storeAddress, Duration changeBound, OnChanges onChanges);
     ~StoreReader();
@@ -70,7 +70,7 @@
     std::optional<Duration> timeSinceRecovery() const;
     /** Age of the latest state of the store that this node knows completely; unset unless hasReadAll(). */
     std::optional<Duration> snapshotAge() const;
-    /** Time since the last answer of the store while it counts as lost, else zero. */
+    /** Time since the last answer of the store while it counts as lost, otherwise zero. */
     Duration timeSinceLastAnswer() const;
 
 private:
--- a/main/inidocument.cpp
+++ b/main/inidocument.cpp
@@ -21,7 +21,7 @@
     std::istringstream input;
     IniDocument document;
 
-    // Returns an error message if inih would truncate a part of the line, else an empty string.
+    // Returns an error message if inih would truncate a part of the line, otherwise an empty string.
     std::string checkLine(const std::string &line, std::size_t size) const;
 };
 
--- a/main/operatorcommands.cpp
+++ b/main/operatorcommands.cpp
@@ -43,7 +43,7 @@
     return safe;
 }
 
-/** Sends a request to a node and waits for the answer. Returns the exit code and, if that is 0, the body; else it has printed the error. */
+/** Sends a request to a node and waits for the answer. Returns the exit code and, if that is 0, the body; otherwise prints the error. */
 std::pair<int, std::string> fetchFromNode(const std::string &node, const std::string &target, std::ostream &errors)
 {
     if (!isHostPort(node)) {
--- a/tests/coordination/testconfigsync.cpp
+++ b/tests/coordination/testconfigsync.cpp
@@ -191,7 +191,7 @@
     cr_assert(cluster.allAt(version));
 }
 
-// An operator publishes an invalid change. If half of it were applied, requests would be served by a configuration that nobody published.
+// An operator publishes an invalid change. If half of it were applied, requests would be served by an unpublished configuration.
 Test(configsync, invalidVersionIsRefusedAsAWholeAndThePreviousOneStays)
 {
     ConfigTestCluster cluster(5);
--- a/tests/coordination/testfleetscope.cpp
+++ b/tests/coordination/testfleetscope.cpp
@@ -26,7 +26,7 @@
 } // namespace
 
 // A fleet grows beyond what one small node can process messages for. Its nodes must then exchange load within their zone only, since
-// messages between zones would take the processor time that callers wait for.
+// messages between zones would use processor time that requests need.
 Test(fleetscope, largeFleetDividesByZone)
 {
     FleetScope scope(FleetScopeLimits {}, A);
--- a/tests/coordination/testloadqueue.cpp
+++ b/tests/coordination/testloadqueue.cpp
@@ -31,7 +31,7 @@
 
 Test(loadqueue, aFailedLoadIsRetriedWithBackoffAndALimit)
 {
-    // If an adapter whose load fails were retried in a tight loop, it would take the loads that others wait for.
+    // If an adapter whose load fails were retried in a tight loop, it would delay the loads of other adapters.
     LoadQueue queue({}, 1);
     queue.update(adapter("bad"), demand(QueueLevel::Urgent, 1, Time(0)), Time(0));
     Time now(0);
--- a/tests/main/testrequestforwarder.cpp
+++ b/tests/main/testrequestforwarder.cpp
@@ -200,7 +200,7 @@
 }
 
 // A late answer to an earlier request arrives on the connection where the next answer is expected. If it were forwarded, a caller would
-// read data of somebody else, such as an account balance.
+// read data of another caller, such as an account balance.
 Test(requestforwarder, answerToAnotherRequestIsNotForwarded)
 {
     const ScriptedUpstream upstream([](const std::string &) {
@@ -218,7 +218,7 @@
 }
 
 // Path, query and body must be forwarded byte for byte, but neither connection headers nor headers that only the system may set. With the
-// latter, a caller could run its request on engine memory that belongs to somebody else's request.
+// latter, a caller could run its request on engine memory that belongs to another caller's request.
 Test(requestforwarder, requestIsForwardedUnchangedWithoutForgedHeaders)
 {
     const ScriptedUpstream upstream([](const std::string &) { return ScriptedAnswer { CompleteAnswer }; });
--- a/tests/main/teststorereplica.cpp
+++ b/tests/main/teststorereplica.cpp
@@ -23,7 +23,7 @@
 } // namespace
 
 // A node gets the same items from the store and from its peers, in any order. If an older revision replaced a newer one, an upstream that
-// has left would reappear and get requests that nobody answers.
+// has left would reappear and get requests that are never answered.
 Test(storereplica, olderRevisionNeverReplacesNewer)
 {
     StoreReplica replica;
--- a/tests/platform/testrecords.cpp
+++ b/tests/platform/testrecords.cpp
@@ -82,7 +82,7 @@
     cr_assert_eq(source.value().limits.bodyBytes, 1000);
 }
 
-// A configuration with a fault must be rejected with an error that names the field, so that the last valid one stays in force. A faulty
+// A configuration with a fault must be rejected with an error that names the field, so that the last valid one stays active. A faulty
 // field must never be read as a valid zero.
 Test(records, errorOfInvalidConfigurationNamesField)
 {
--- a/tests/transport/testhttp.cpp
+++ b/tests/transport/testhttp.cpp
@@ -73,7 +73,7 @@
 
 Test(http, abortedStreamIsReportedAsFailed)
 {
-    // The engine fails in the middle of an answer. If the connection ended cleanly, the caller would take half an answer for a complete
+    // The engine fails in the middle of an answer. If the connection ended cleanly, the caller would treat half an answer as a complete
     // one.
     const auto server = serve([](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) {
         exchange->beginStream(200, {});
--- a/tests/transport/testnoderpc.cpp
+++ b/tests/transport/testnoderpc.cpp
@@ -321,7 +321,7 @@
 Test(noderpc, callerDisconnectCancelsAtOwner)
 {
     // A caller closes the page and disconnects. The engine at the other node must stop generating, or its batch fills with answers that
-    // nobody reads.
+    // are never read.
     const auto front = startRpc();
     const auto owner = startRpc();
     absl::Notification gone;
--- a/transport/httpserver.cpp
+++ b/transport/httpserver.cpp
@@ -89,7 +89,7 @@
 }
 
 // Prevents request smuggling: a sender and a receiver that disagree on where a body ends see different requests in the same bytes, and the
-// receiver runs a request that nobody made. Such a request is refused and its connection closed, so that nothing after it is read.
+// receiver runs a request that was never sent. Such a request is refused and its connection closed, so that nothing after it is read.
 bool hasAmbiguousLength(const HttpRequest &request)
 {
     int lengths = 0;
--- a/transport/httpserver.h
+++ b/transport/httpserver.h
@@ -59,7 +59,7 @@
     virtual bool write(std::string_view data) = 0;
     /** Ends the stream as complete. */
     virtual void finish() = 0;
-    /** Closes the connection in such a way that the caller cannot take the answer for complete. */
+    /** Closes the connection in such a way that the caller cannot mistake the answer for a complete one. */
     virtual void abort() = 0;
     /**
      * Sets the callback for each time that a full buffer has been emptied. It is called on a server thread. To be set before beginStream().
--- a/transport/rpcanswer.h
+++ b/transport/rpcanswer.h
@@ -131,8 +131,8 @@
     kj::Promise<void> write(capnp::Data::Reader data);
     void end(bool isAborted);
     /**
-     * Ends the answer with StreamCut after the owner was lost or when this node stops, so that the caller does not take the part that it
-     * received for a complete answer.
+     * Ends the answer with StreamCut after the owner was lost or when this node stops, so that the caller does not treat the part that it
+     * received as a complete answer.
      */
     void failStreamCut(const std::string &why);
     /** The request was not sent: stops using the exchange, so that the caller of NodeRpc::forward() can answer it. */
